--- a/src/main/java/caperrudder/AdmissionOdds.java
+++ b/src/main/java/caperrudder/AdmissionOdds.java
@@ -1,6 +1,6 @@
 package caperrudder;
 
-import caperrudder.Gateway.Plan;
+import caperrudder.api.Plan;
 
 /**
  * The odds that a try which this gateway lets in is beyond its customer's quota, and what they make the try worth.
--- a/src/main/java/caperrudder/Brain.java
+++ b/src/main/java/caperrudder/Brain.java
@@ -1,15 +1,44 @@
 package caperrudder;
 
-import caperrudder.Gateway.*;
-import caperrudder.State.*;
-import java.util.*;
+import caperrudder.State.Ask;
+import caperrudder.State.Attempt;
+import caperrudder.State.ClassState;
+import caperrudder.State.Customer;
+import caperrudder.State.Health;
+import caperrudder.State.Member;
+import caperrudder.State.Peer;
+import caperrudder.State.Server;
+import caperrudder.api.Actions;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Books;
+import caperrudder.api.Cluster;
+import caperrudder.api.CustomerBook;
+import caperrudder.api.Effect;
+import caperrudder.api.Events;
+import caperrudder.api.Host;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.Plan;
+import caperrudder.api.Request;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Scope;
+import caperrudder.api.Settings;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
 import java.util.stream.IntStream;
 
 /**
  * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
  * Its interface (events, actions, settings) is Gateway.java, beside this file.
  */
-public final class Brain implements Gateway.Events {
+public final class Brain implements Events {
     // Housekeeping
     private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
     private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
@@ -839,7 +868,7 @@
         if (ask.admitted && !ask.done) lateness.note(true);
         boolean harmless = ask.ran() == null
                 || spec.effect() == Effect.REPEATABLE
-                || spec.effect() == Effect.KEYED && spec.scope() == Gateway.Scope.ALL;
+                || spec.effect() == Effect.KEYED && spec.scope() == Scope.ALL;
         close(ask);
         // A place may be had once what is held now has left.
         if (harmless) act.refuse(ask.request.id(), waitTold(ask.cls.queue.size() * ask.cls.releaseGap));
--- a/src/main/java/caperrudder/HostTable.java
+++ b/src/main/java/caperrudder/HostTable.java
@@ -1,9 +1,9 @@
 package caperrudder;
 
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.Scope;
 import caperrudder.State.Server;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.Scope;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashSet;
--- a/src/main/java/caperrudder/PeerOutbox.java
+++ b/src/main/java/caperrudder/PeerOutbox.java
@@ -1,8 +1,8 @@
 package caperrudder;
 
-import caperrudder.Gateway.Actions;
 import caperrudder.State.Customer;
 import caperrudder.State.Peer;
+import caperrudder.api.Actions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
--- a/src/main/java/caperrudder/SnapshotTransfer.java
+++ b/src/main/java/caperrudder/SnapshotTransfer.java
@@ -1,13 +1,13 @@
 package caperrudder;
 
-import caperrudder.Gateway.Books;
-import caperrudder.Gateway.ClassBook;
-import caperrudder.Gateway.CustomerBook;
-import caperrudder.Gateway.HealthBook;
 import caperrudder.State.ClassState;
 import caperrudder.State.Customer;
 import caperrudder.State.Health;
 import caperrudder.State.Server;
+import caperrudder.api.Books;
+import caperrudder.api.ClassBook;
+import caperrudder.api.CustomerBook;
+import caperrudder.api.HealthBook;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/caperrudder/State.java
+++ b/src/main/java/caperrudder/State.java
@@ -1,11 +1,11 @@
 package caperrudder;
 
-import caperrudder.Gateway.HealthBook;
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.Plan;
-import caperrudder.Gateway.Request;
-import caperrudder.Gateway.RequestClass;
+import caperrudder.api.HealthBook;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.Plan;
+import caperrudder.api.Request;
+import caperrudder.api.RequestClass;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
--- /dev/null
+++ b/src/main/java/caperrudder/api/HostState.java
@@ -0,0 +1,7 @@
+package caperrudder.api;
+
+public enum HostState {
+    RUNNING,
+    DRAINING,
+    GONE
+}
--- /dev/null
+++ b/src/main/java/caperrudder/api/ListKind.java
@@ -0,0 +1,9 @@
+package caperrudder.api;
+
+/** How a list of hosts is to be read: changes, all, what was held before a restart, or none (a call failed). */
+public enum ListKind {
+    CHANGES,
+    FULL,
+    CACHED,
+    FAILED
+}
--- a/src/main/java/caperrudder/net/Attempt.java
+++ b/src/main/java/caperrudder/net/Attempt.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Outcome;
+import caperrudder.api.Outcome;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
--- a/src/main/java/caperrudder/net/BooksFormat.java
+++ b/src/main/java/caperrudder/net/BooksFormat.java
@@ -1,9 +1,9 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Books;
-import caperrudder.Gateway.ClassBook;
-import caperrudder.Gateway.CustomerBook;
-import caperrudder.Gateway.HealthBook;
+import caperrudder.api.Books;
+import caperrudder.api.ClassBook;
+import caperrudder.api.CustomerBook;
+import caperrudder.api.HealthBook;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
--- a/src/main/java/caperrudder/net/ClientServer.java
+++ b/src/main/java/caperrudder/net/ClientServer.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Request;
+import caperrudder.api.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/caperrudder/net/Discovery.java
+++ b/src/main/java/caperrudder/net/Discovery.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.ListKind;
+import caperrudder.api.ListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/caperrudder/net/DrainTimes.java
+++ b/src/main/java/caperrudder/net/DrainTimes.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.RequestClass;
+import caperrudder.api.RequestClass;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
--- a/src/main/java/caperrudder/net/Figures.java
+++ b/src/main/java/caperrudder/net/Figures.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Cluster;
+import caperrudder.api.Cluster;
 import java.util.List;
 
 /**
--- a/src/main/java/caperrudder/net/HandoverFiles.java
+++ b/src/main/java/caperrudder/net/HandoverFiles.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Books;
+import caperrudder.api.Books;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/main/java/caperrudder/net/HostClient.java
+++ b/src/main/java/caperrudder/net/HostClient.java
@@ -1,8 +1,8 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.ListKind;
-import caperrudder.Gateway.Outcome;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/caperrudder/net/HostList.java
+++ b/src/main/java/caperrudder/net/HostList.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Host;
+import caperrudder.api.Host;
 import java.net.InetSocketAddress;
 import java.util.List;
 
--- a/src/main/java/caperrudder/net/HostListBuilder.java
+++ b/src/main/java/caperrudder/net/HostListBuilder.java
@@ -1,7 +1,7 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/caperrudder/net/HostLists.java
+++ b/src/main/java/caperrudder/net/HostLists.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Host;
+import caperrudder.api.Host;
 import java.io.IOException;
 import java.io.InputStream;
 import java.util.ArrayList;
--- a/src/main/java/caperrudder/net/Node.java
+++ b/src/main/java/caperrudder/net/Node.java
@@ -1,15 +1,15 @@
 package caperrudder.net;
 
 import caperrudder.Brain;
-import caperrudder.Gateway.Actions;
-import caperrudder.Gateway.AttemptResult;
-import caperrudder.Gateway.Books;
-import caperrudder.Gateway.Cluster;
-import caperrudder.Gateway.Events;
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.ListKind;
-import caperrudder.Gateway.Outcome;
-import caperrudder.Gateway.Request;
+import caperrudder.api.Actions;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Books;
+import caperrudder.api.Cluster;
+import caperrudder.api.Events;
+import caperrudder.api.Host;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
--- a/src/main/java/caperrudder/net/NodeConfig.java
+++ b/src/main/java/caperrudder/net/NodeConfig.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Settings;
+import caperrudder.api.Settings;
 import caperrudder.wire.Fields;
 import caperrudder.wire.SettingsReader;
 import caperrudder.wire.WireFault;
--- a/src/main/java/caperrudder/net/OpenRequest.java
+++ b/src/main/java/caperrudder/net/OpenRequest.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Request;
+import caperrudder.api.Request;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
--- a/src/main/java/caperrudder/net/RequestTerms.java
+++ b/src/main/java/caperrudder/net/RequestTerms.java
@@ -1,10 +1,10 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Effect;
-import caperrudder.Gateway.Plan;
-import caperrudder.Gateway.Request;
-import caperrudder.Gateway.RequestClass;
-import caperrudder.Gateway.Settings;
+import caperrudder.api.Effect;
+import caperrudder.api.Plan;
+import caperrudder.api.Request;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Settings;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
--- a/src/main/java/caperrudder/net/Succession.java
+++ b/src/main/java/caperrudder/net/Succession.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.Books;
+import caperrudder.api.Books;
 import caperrudder.net.HandoverFiles.Claim;
 import java.io.IOException;
 import java.nio.file.Path;
--- a/src/main/java/caperrudder/net/Tally.java
+++ b/src/main/java/caperrudder/net/Tally.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.Gateway.RequestClass;
+import caperrudder.api.RequestClass;
 import caperrudder.net.Figures.Ended;
 import java.util.ArrayList;
 import java.util.EnumMap;
--- a/src/main/java/caperrudder/net/WarmUp.java
+++ b/src/main/java/caperrudder/net/WarmUp.java
@@ -1,14 +1,14 @@
 package caperrudder.net;
 
 import caperrudder.Brain;
-import caperrudder.Gateway.Effect;
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.ListKind;
-import caperrudder.Gateway.Plan;
-import caperrudder.Gateway.RequestClass;
-import caperrudder.Gateway.Settings;
-import caperrudder.Gateway.Sharing;
+import caperrudder.api.Effect;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
+import caperrudder.api.Plan;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/caperrudder/scale/FleetSettings.java
+++ b/src/main/java/caperrudder/scale/FleetSettings.java
@@ -1,6 +1,6 @@
 package caperrudder.scale;
 
-import caperrudder.Gateway.Settings;
+import caperrudder.api.Settings;
 import caperrudder.wire.Fields;
 import caperrudder.wire.SettingsReader;
 import java.util.Map;
--- a/src/main/java/caperrudder/scale/HollowFleet.java
+++ b/src/main/java/caperrudder/scale/HollowFleet.java
@@ -1,9 +1,9 @@
 package caperrudder.scale;
 
-import caperrudder.Gateway.AttemptResult;
-import caperrudder.Gateway.Outcome;
-import caperrudder.Gateway.Request;
-import caperrudder.Gateway.Settings;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Outcome;
+import caperrudder.api.Request;
+import caperrudder.api.Settings;
 import caperrudder.scale.DiscoveryStandIn.Entry;
 import caperrudder.scale.DiscoveryStandIn.State;
 import java.util.ArrayList;
--- a/src/main/java/caperrudder/scale/HollowGateway.java
+++ b/src/main/java/caperrudder/scale/HollowGateway.java
@@ -1,9 +1,9 @@
 package caperrudder.scale;
 
 import caperrudder.Brain;
-import caperrudder.Gateway.Events;
-import caperrudder.Gateway.ListKind;
-import caperrudder.Gateway.Settings;
+import caperrudder.api.Events;
+import caperrudder.api.ListKind;
+import caperrudder.api.Settings;
 import caperrudder.net.HostLists;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
--- a/src/main/java/caperrudder/scale/Outbox.java
+++ b/src/main/java/caperrudder/scale/Outbox.java
@@ -1,6 +1,6 @@
 package caperrudder.scale;
 
-import caperrudder.Gateway.Actions;
+import caperrudder.api.Actions;
 import java.util.Arrays;
 
 /**
--- a/src/main/java/caperrudder/scale/Tenants.java
+++ b/src/main/java/caperrudder/scale/Tenants.java
@@ -1,6 +1,6 @@
 package caperrudder.scale;
 
-import caperrudder.Gateway.Plan;
+import caperrudder.api.Plan;
 import java.util.List;
 
 /**
--- a/src/main/java/caperrudder/wire/ReplyWriter.java
+++ b/src/main/java/caperrudder/wire/ReplyWriter.java
@@ -1,6 +1,6 @@
 package caperrudder.wire;
 
-import caperrudder.Gateway.Actions;
+import caperrudder.api.Actions;
 import java.util.HexFormat;
 
 /** Writes one instance's actions as lines of the reply; the AT line comes before its first. */
--- a/src/main/java/caperrudder/wire/SettingsReader.java
+++ b/src/main/java/caperrudder/wire/SettingsReader.java
@@ -1,13 +1,13 @@
 package caperrudder.wire;
 
-import caperrudder.Gateway.Effect;
-import caperrudder.Gateway.Limits;
-import caperrudder.Gateway.Plan;
-import caperrudder.Gateway.RequestClass;
-import caperrudder.Gateway.Rules;
-import caperrudder.Gateway.Scope;
-import caperrudder.Gateway.Settings;
-import caperrudder.Gateway.Sharing;
+import caperrudder.api.Effect;
+import caperrudder.api.Limits;
+import caperrudder.api.Plan;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Rules;
+import caperrudder.api.Scope;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/caperrudder/wire/WireHost.java
+++ b/src/main/java/caperrudder/wire/WireHost.java
@@ -1,12 +1,12 @@
 package caperrudder.wire;
 
 import caperrudder.Brain;
-import caperrudder.Gateway.AttemptResult;
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.ListKind;
-import caperrudder.Gateway.Outcome;
-import caperrudder.Gateway.Request;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.Request;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
--- a/src/test/java/caperrudder/ActionRecorder.java
+++ b/src/test/java/caperrudder/ActionRecorder.java
@@ -1,6 +1,6 @@
 package caperrudder;
 
-import caperrudder.Gateway.Actions;
+import caperrudder.api.Actions;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/caperrudder/AdmissionOddsTest.java
+++ b/src/test/java/caperrudder/AdmissionOddsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.Plan;
+import caperrudder.api.Plan;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/caperrudder/BooksTest.java
+++ b/src/test/java/caperrudder/BooksTest.java
@@ -2,7 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.Gateway.*;
+import caperrudder.api.Limits;
+import caperrudder.api.Outcome;
+import caperrudder.api.Request;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/caperrudder/ColdFleetTest.java
+++ b/src/test/java/caperrudder/ColdFleetTest.java
@@ -2,7 +2,19 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.*;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Effect;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.Limits;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.Request;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Rules;
+import caperrudder.api.Scope;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
--- a/src/test/java/caperrudder/DecisionsTest.java
+++ b/src/test/java/caperrudder/DecisionsTest.java
@@ -2,8 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.Gateway.*;
 import caperrudder.State.ClassState;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.Request;
+import caperrudder.api.RequestClass;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/caperrudder/FakeGateway.java
+++ b/src/test/java/caperrudder/FakeGateway.java
@@ -1,6 +1,20 @@
 package caperrudder;
 
-import caperrudder.Gateway.*;
+import caperrudder.api.Actions;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Effect;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.Limits;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.Plan;
+import caperrudder.api.Request;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Rules;
+import caperrudder.api.Scope;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/test/java/caperrudder/FleetTest.java
+++ b/src/test/java/caperrudder/FleetTest.java
@@ -2,7 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.Gateway.*;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/src/test/java/caperrudder/HostCostsTest.java
+++ b/src/test/java/caperrudder/HostCostsTest.java
@@ -2,7 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.Gateway.*;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
 import java.lang.management.ManagementFactory;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/caperrudder/HostTableTest.java
+++ b/src/test/java/caperrudder/HostTableTest.java
@@ -2,9 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.Gateway.*;
 import caperrudder.State.Health;
 import caperrudder.State.Server;
+import caperrudder.api.Effect;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Scope;
+import caperrudder.api.Settings;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
--- a/src/test/java/caperrudder/InheritanceTest.java
+++ b/src/test/java/caperrudder/InheritanceTest.java
@@ -2,7 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.Gateway.*;
+import caperrudder.api.Books;
+import caperrudder.api.ClassBook;
+import caperrudder.api.Cluster;
+import caperrudder.api.CustomerBook;
+import caperrudder.api.HealthBook;
+import caperrudder.api.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/caperrudder/LoadedQuotaWorld.java
+++ b/src/test/java/caperrudder/LoadedQuotaWorld.java
@@ -1,12 +1,12 @@
 package caperrudder;
 
-import caperrudder.Gateway.AttemptResult;
-import caperrudder.Gateway.Outcome;
-import caperrudder.Gateway.Plan;
-import caperrudder.Gateway.Request;
-import caperrudder.Gateway.RequestClass;
-import caperrudder.Gateway.Settings;
-import caperrudder.Gateway.Sharing;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Outcome;
+import caperrudder.api.Plan;
+import caperrudder.api.Request;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/test/java/caperrudder/OverQuotaTest.java
+++ b/src/test/java/caperrudder/OverQuotaTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.Plan;
 import caperrudder.QuotaWorld.Habits;
 import caperrudder.QuotaWorld.Policy;
 import caperrudder.QuotaWorld.Result;
+import caperrudder.api.Plan;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/caperrudder/OverQuotaUnderLoadTest.java
+++ b/src/test/java/caperrudder/OverQuotaUnderLoadTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.Effect;
-import caperrudder.Gateway.Plan;
-import caperrudder.Gateway.RequestClass;
-import caperrudder.Gateway.Scope;
 import caperrudder.LoadedQuotaWorld.Load;
 import caperrudder.LoadedQuotaWorld.Result;
 import caperrudder.QuotaWorld.Habits;
+import caperrudder.api.Effect;
+import caperrudder.api.Plan;
+import caperrudder.api.RequestClass;
+import caperrudder.api.Scope;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.LongStream;
--- a/src/test/java/caperrudder/PartsTest.java
+++ b/src/test/java/caperrudder/PartsTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.Gateway.AttemptResult;
-import caperrudder.Gateway.Limits;
-import caperrudder.Gateway.Outcome;
-import caperrudder.Gateway.Settings;
-import caperrudder.Gateway.Sharing;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Limits;
+import caperrudder.api.Outcome;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -53,7 +53,7 @@
                 for (FakeGateway.Sent s : List.copyOf(g.sent)) {
                     if (ended.add(s.id())) {
                         letIn += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
-                        g.end(s.id(), 0, Gateway.Outcome.OK, 5);
+                        g.end(s.id(), 0, Outcome.OK, 5);
                     }
                 }
             }
@@ -244,7 +244,7 @@
         }
         assertEquals(2, g.sent.size());
         assertEquals(2, g.refused.size());
-        g.end("o0", 0, Gateway.Outcome.OK, 5);
+        g.end("o0", 0, Outcome.OK, 5);
         g.ask("o9", "read", "open", 5, 1, 1);
         assertEquals(1, g.sends("o9"));
     }
--- a/src/test/java/caperrudder/PeerDecisionsTest.java
+++ b/src/test/java/caperrudder/PeerDecisionsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.Plan;
-import caperrudder.Gateway.Sharing;
+import caperrudder.api.Plan;
+import caperrudder.api.Sharing;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/caperrudder/QuotaFleetTest.java
+++ b/src/test/java/caperrudder/QuotaFleetTest.java
@@ -2,7 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.*;
+import caperrudder.api.Outcome;
+import caperrudder.api.Plan;
+import caperrudder.api.Request;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/test/java/caperrudder/QuotaWorld.java
+++ b/src/test/java/caperrudder/QuotaWorld.java
@@ -1,6 +1,10 @@
 package caperrudder;
 
-import caperrudder.Gateway.*;
+import caperrudder.api.Outcome;
+import caperrudder.api.Plan;
+import caperrudder.api.Request;
+import caperrudder.api.Settings;
+import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/test/java/caperrudder/RetryDecisionsTest.java
+++ b/src/test/java/caperrudder/RetryDecisionsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.Outcome;
+import caperrudder.api.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/caperrudder/SeededWorld.java
+++ b/src/test/java/caperrudder/SeededWorld.java
@@ -1,15 +1,15 @@
 package caperrudder;
 
-import caperrudder.Gateway.Actions;
-import caperrudder.Gateway.AttemptResult;
-import caperrudder.Gateway.Events;
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.ListKind;
-import caperrudder.Gateway.Outcome;
-import caperrudder.Gateway.Plan;
-import caperrudder.Gateway.Request;
-import caperrudder.Gateway.RequestClass;
+import caperrudder.api.Actions;
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Events;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
+import caperrudder.api.Outcome;
+import caperrudder.api.Plan;
+import caperrudder.api.Request;
+import caperrudder.api.RequestClass;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumMap;
--- a/src/test/java/caperrudder/SimulatedEndpoint.java
+++ b/src/test/java/caperrudder/SimulatedEndpoint.java
@@ -1,7 +1,7 @@
 package caperrudder;
 
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.Set;
--- a/src/test/java/caperrudder/SlowStartDecisionsTest.java
+++ b/src/test/java/caperrudder/SlowStartDecisionsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.ListKind;
+import caperrudder.api.HostState;
+import caperrudder.api.ListKind;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/caperrudder/StreamingDecisionsTest.java
+++ b/src/test/java/caperrudder/StreamingDecisionsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.Limits;
-import caperrudder.Gateway.Outcome;
+import caperrudder.api.HostState;
+import caperrudder.api.Limits;
+import caperrudder.api.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/caperrudder/TrueUse.java
+++ b/src/test/java/caperrudder/TrueUse.java
@@ -1,6 +1,6 @@
 package caperrudder;
 
-import caperrudder.Gateway.Plan;
+import caperrudder.api.Plan;
 import java.util.Map;
 import java.util.TreeMap;
 
--- a/src/test/java/caperrudder/net/FatalTest.java
+++ b/src/test/java/caperrudder/net/FatalTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.Brain;
-import caperrudder.Gateway.Events;
+import caperrudder.api.Events;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.net.InetAddress;
--- a/src/test/java/caperrudder/net/HandoverFilesGoldenTest.java
+++ b/src/test/java/caperrudder/net/HandoverFilesGoldenTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import caperrudder.Gateway.Books;
-import caperrudder.Gateway.HealthBook;
 import caperrudder.GoldenFiles;
+import caperrudder.api.Books;
+import caperrudder.api.HealthBook;
 import caperrudder.net.HandoverFiles.Claim;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/caperrudder/net/HostListReaderTest.java
+++ b/src/test/java/caperrudder/net/HostListReaderTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.sun.management.ThreadMXBean;
--- a/src/test/java/caperrudder/net/SnapshotGoldenTest.java
+++ b/src/test/java/caperrudder/net/SnapshotGoldenTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import caperrudder.Gateway.Books;
-import caperrudder.Gateway.ClassBook;
-import caperrudder.Gateway.CustomerBook;
-import caperrudder.Gateway.HealthBook;
 import caperrudder.GoldenFiles;
+import caperrudder.api.Books;
+import caperrudder.api.ClassBook;
+import caperrudder.api.CustomerBook;
+import caperrudder.api.HealthBook;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/caperrudder/net/Sockets.java
+++ b/src/test/java/caperrudder/net/Sockets.java
@@ -1,8 +1,8 @@
 package caperrudder.net;
 
 import caperrudder.Brain;
-import caperrudder.Gateway.Actions;
-import caperrudder.Gateway.Events;
+import caperrudder.api.Actions;
+import caperrudder.api.Events;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
--- a/src/test/java/caperrudder/net/SuccessionTest.java
+++ b/src/test/java/caperrudder/net/SuccessionTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.Books;
-import caperrudder.Gateway.ClassBook;
-import caperrudder.Gateway.CustomerBook;
-import caperrudder.Gateway.HealthBook;
+import caperrudder.api.Books;
+import caperrudder.api.ClassBook;
+import caperrudder.api.CustomerBook;
+import caperrudder.api.HealthBook;
 import caperrudder.net.HandoverFiles.Claim;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/caperrudder/scale/StandInTest.java
+++ b/src/test/java/caperrudder/scale/StandInTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Gateway.Host;
-import caperrudder.Gateway.HostState;
-import caperrudder.Gateway.Settings;
+import caperrudder.api.Host;
+import caperrudder.api.HostState;
+import caperrudder.api.Settings;
 import caperrudder.net.HostLists;
 import caperrudder.scale.DiscoveryStandIn.Entry;
 import caperrudder.scale.DiscoveryStandIn.State;
