--- a/src/main/java/caperrudder/AdmissionOdds.java
+++ b/src/main/java/caperrudder/AdmissionOdds.java
@@ -56,8 +56,10 @@
             double now, double units, double usefulShare, double takenFromOthers, double figureAgeMs, double use) {
         double known = Math.exp(-figureAgeMs / knownMs);
         double odds = known * beyondAt(use) + (1 - known) * unknownBeyond(now, units);
-        double worth =
-                (1 - odds) * usefulShare - odds * (plan.overCost() - plan.overWorth()) - takenFromOthers - COMES_AGAIN;
+        double worth = (1 - odds) * usefulShare
+                - odds * (plan.overQuotaCost() - plan.overQuotaValue())
+                - takenFromOthers
+                - COMES_AGAIN;
         saved += Math.max(LEAST_SHARE, Math.min(1, (worth + MARGIN) / (2 * MARGIN)));
         if (saved < 1) return false;
         saved -= 1;
@@ -71,19 +73,19 @@
     /** In a store that is nearly empty the more units find no room the more there are; open attempts all count one. */
     private double unknownBeyond(double now, double units) {
         double mean = faded(now);
-        return plan.rate() > 0 ? Math.min(1, mean * units / meanUnits) : mean;
+        return plan.unitsPerSecond() > 0 ? Math.min(1, mean * units / meanUnits) : mean;
     }
 
     private double beyondAt(double use) {
-        return plan.rate() > 0 ? EMPTY_SHARE * (1 - 1 / Math.max(1, use)) : openBeyond(use);
+        return plan.unitsPerSecond() > 0 ? EMPTY_SHARE * (1 - 1 / Math.max(1, use)) : openBeyond(use);
     }
 
     /** Attempts open at once vary as Poisson counts: the odds that the limit is reached when one more comes. */
     private double openBeyond(double use) {
-        double mean = use * plan.openLimit() / PEAK_OF_MEAN;
+        double mean = use * plan.concurrencyLimit() / PEAK_OF_MEAN;
         double term = Math.exp(-mean);
         double room = 0;
-        for (int open = 0; open < plan.openLimit(); open++) {
+        for (int open = 0; open < plan.concurrencyLimit(); open++) {
             room += term;
             term *= mean / (open + 1);
         }
--- a/src/main/java/caperrudder/Brain.java
+++ b/src/main/java/caperrudder/Brain.java
@@ -8,21 +8,21 @@
 import caperrudder.State.Member;
 import caperrudder.State.Peer;
 import caperrudder.State.Server;
-import caperrudder.api.Actions;
 import caperrudder.api.AttemptResult;
-import caperrudder.api.Books;
-import caperrudder.api.Cluster;
-import caperrudder.api.CustomerBook;
-import caperrudder.api.Effect;
-import caperrudder.api.Events;
+import caperrudder.api.ClusterHealth;
+import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
-import caperrudder.api.ListKind;
+import caperrudder.api.HostListKind;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Outcome;
 import caperrudder.api.Plan;
+import caperrudder.api.PolicyActions;
+import caperrudder.api.PolicyEvents;
+import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Scope;
 import caperrudder.api.Settings;
+import caperrudder.api.Snapshot;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
@@ -38,7 +38,7 @@
  * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
  * Its interface (events, actions, settings) is Gateway.java, beside this file.
  */
-public final class Brain implements Events {
+public final class Brain implements PolicyEvents {
     // Housekeeping
     private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
     private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
@@ -122,7 +122,7 @@
     private static final double DEADLINE_MS = 40; // refuse or fail this long before a deadline: two beats
     private static final double UNSENT_SHARE = 0.4; // of its time: then what never left is decided
 
-    private final Actions act;
+    private final PolicyActions act;
     private final Map<String, ClassState> classes = new LinkedHashMap<>();
     private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
     private final Map<Integer, AdmissionOdds> firstOdds = new HashMap<>();
@@ -150,7 +150,7 @@
     private double retryTokens = RETRY_MAX / 2;
     private double latencySum, baseSum, aimShareSum;
 
-    public Brain(Actions act) {
+    public Brain(PolicyActions act) {
         this.act = act;
     }
 
@@ -159,32 +159,32 @@
         set = settings;
         random = new Random(settings.seed());
         startedAt = now;
-        peers = new Peer[Math.max(1, settings.gateways())];
+        peers = new Peer[Math.max(1, settings.gatewayCount())];
         Arrays.setAll(peers, Peer::new);
-        outbox = new PeerOutbox(now, peers.length, settings.sharing().mailPerSecond(), act);
+        outbox = new PeerOutbox(now, peers.length, settings.sharing().peerMessagesPerSecond(), act);
         table = new HostTable(peers.length > STEADY);
         double worth = settings.classes().stream()
-                .mapToDouble(c -> Math.max(WEIGHT_MIN, c.worth()))
+                .mapToDouble(c -> Math.max(WEIGHT_MIN, c.priorityWeight()))
                 .sum();
         for (RequestClass c : settings.classes()) {
             ClassState state = new ClassState(c);
-            state.weight = Math.max(WEIGHT_MIN, c.worth()) / worth;
-            state.latencyPerUnit =
-                    state.base = c.aimMs() * FIRST_GUESS / settings.sharing().maxUnits();
+            state.weight = Math.max(WEIGHT_MIN, c.priorityWeight()) / worth;
+            state.latencyPerUnit = state.base =
+                    c.latencyObjectiveMs() * FIRST_GUESS / settings.sharing().maxUnits();
             classes.put(c.name(), state);
         }
         for (int i = 0; i < settings.plans().size(); i++)
             planNumbers.put(settings.plans().get(i).name(), i);
         beatAt = boundAt = sweptAt = delayAt = donateAt = surveyedAt = now;
-        if (settings.subscribe()) act.watchHosts();
-        act.timer(TICK_MS, "beat");
+        if (settings.subscribesToHosts()) act.subscribeToHosts();
+        act.startTimer(TICK_MS, "beat");
     }
 
     @Override
-    public void hosts(double now, ListKind kind, List<Host> hosts) {
-        if (kind == ListKind.FAILED) act.timer(RELAX_MS, "watch");
-        if (kind == ListKind.FAILED) return;
-        if (kind != ListKind.CHANGES) table.beginList();
+    public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
+        if (kind == HostListKind.FAILED) act.startTimer(RELAX_MS, "watch");
+        if (kind == HostListKind.FAILED) return;
+        if (kind != HostListKind.CHANGES) table.beginList();
         for (Host h : hosts) {
             Server s = table.put(h);
             if (h.startedMs() > 0 && h.startedMs() > s.coldAt) {
@@ -195,20 +195,20 @@
                 if (coldest == null || s.coldAt > coldest.coldAt) coldest = s; // till counted
             }
         }
-        if (kind != ListKind.CHANGES) table.endList();
+        if (kind != HostListKind.CHANGES) table.endList();
         // Of many hosts a few cold ones more or less may wait for the next beat.
-        if (kind == ListKind.CHANGES && hosts.size() < table.openCount() / COMPARED) keepHomes(now);
+        if (kind == HostListKind.CHANGES && hosts.size() < table.openCount() / COMPARED) keepHomes(now);
         else survey(now);
         release(now);
     }
 
     @Override
-    public void request(double now, Request r) {
+    public void requestReceived(double now, Request r) {
         ClassState cls = classes.get(r.requestClass());
-        if (cls == null) act.refuse(r.id(), 0); // a class that the settings do not name cannot be judged
+        if (cls == null) act.reject(r.id(), 0); // a class that the settings do not name cannot be judged
         if (cls == null) return;
         Integer plan = planNumbers.get(r.plan());
-        Customer c = plan == null ? null : customer(now, r.customer(), plan, r.first(), r.spread());
+        Customer c = plan == null ? null : customer(now, r.customer(), plan, r.firstReplica(), r.replicaCount());
         Ask ask = new Ask(r, cls, c);
         asks.put(r.id(), ask);
         // A stall of ours has used up its time: it is told so at once, before it costs others theirs. It
@@ -248,13 +248,13 @@
      */
     private void noteOpen(double now, Customer c, double work) {
         c.openPeak = Math.max(c.openPeak, ++c.open);
-        boolean alone = c.spread == 1 || c.plan.openLimit() <= 0 || c.plan.rate() > 0 || !metered();
-        c.openTurnMs = alone ? 0 : c.spread * work / c.plan.openLimit();
+        boolean alone = c.spread == 1 || c.plan.concurrencyLimit() <= 0 || c.plan.unitsPerSecond() > 0 || !metered();
+        c.openTurnMs = alone ? 0 : c.spread * work / c.plan.concurrencyLimit();
         c.openNextAt = now + OPEN_PART * c.openTurnMs;
     }
 
     @Override
-    public void requestWhole(double now, String id, double deadlineMs) {
+    public void requestCompleted(double now, String id, double deadlineMs) {
         Ask ask = asks.get(id);
         if (ask == null || !ask.arriving) return;
         ask.arriving = false;
@@ -264,14 +264,14 @@
     }
 
     @Override
-    public void requestSpent(double now, String id) {
+    public void requestNotReplayable(double now, String id) {
         Ask ask = asks.get(id);
         if (ask != null) ask.spent = true;
     }
 
     /** The host's work is done once its answer begins; what is left is the client's pace. */
     @Override
-    public void streamStarted(double now, String id, int attempt) {
+    public void responseStarted(double now, String id, int attempt) {
         Ask ask = asks.get(id);
         if (ask == null) return;
         ask.streaming = true;
@@ -281,19 +281,19 @@
 
     @Override
     public void attemptEnded(double now, AttemptResult r) {
-        Ask ask = asks.get(r.id());
+        Ask ask = asks.get(r.requestId());
         if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
         Attempt a = ask.attempts.get(r.attempt());
         if (!a.out) return;
         a.out = false;
         a.neverRan = r.outcome().neverRan();
-        a.unsent = a.neverRan && r.outcome() != Outcome.FULL;
+        a.unsent = a.neverRan && r.outcome() != Outcome.REJECTED;
         vacate(a);
         learn(now, ask, a, r);
-        if (r.closed()) {
+        if (r.requestClosed()) {
             close(ask);
         } else if (!ask.done && !ask.anyOut()) {
-            if (mayTryAgain(now, ask) && r.outcome() != Outcome.MOOT) ask.cls.queue.addFirst(ask);
+            if (mayTryAgain(now, ask) && r.outcome() != Outcome.NOT_SENT) ask.cls.queue.addFirst(ask);
             else finish(ask);
         }
         if (ask.done && !ask.anyOut()) asks.remove(ask.request.id());
@@ -301,20 +301,20 @@
     }
 
     @Override
-    public void clientLeft(double now, String id) {
+    public void clientDisconnected(double now, String id) {
         Ask ask = asks.get(id);
         if (ask == null) return;
         close(ask);
         for (Attempt a : ask.attempts) {
-            if (a.out && set.limits().cancel() && !ask.streaming) act.cancel(id, a.number);
+            if (a.out && set.limits().cancellation() && !ask.streaming) act.cancelAttempt(id, a.number);
         }
     }
 
     @Override
-    public void timer(double now, String token) {
-        if (token.equals("watch")) act.watchHosts();
+    public void timerFired(double now, String token) {
+        if (token.equals("watch")) act.subscribeToHosts();
         if (!token.equals("beat")) return;
-        act.timer(TICK_MS, "beat");
+        act.startTimer(TICK_MS, "beat");
         noteStall(now);
         expire(now);
         missAnswers(now);
@@ -338,41 +338,41 @@
 
     /** Avoided is what the list says not to use, and what has done so badly that others come before it. */
     @Override
-    public Cluster cluster(double now) {
+    public ClusterHealth clusterHealth(double now) {
         long bad = table.unsettled().stream()
                 .filter(s -> s.open() && classes.values().stream().anyMatch(c -> s.slowness(now, c) >= BAD_ANSWER))
                 .count();
-        return new Cluster(table.listed(), table.drained() + (int) bad);
+        return new ClusterHealth(table.listed(), table.drained() + (int) bad);
     }
 
     @Override
-    public Books books(double now) {
+    public Snapshot takeSnapshot(double now) {
         return new SnapshotTransfer(customers, table, classes).write(now, perHost, c -> touch(now, c));
     }
 
     /** Before the first request all is taken over; from then on only what the other process still uses. */
     @Override
-    public void inherited(double now, Books books) {
-        for (CustomerBook b : books.customers()) inherit(now, books.at(), b);
+    public void restoreSnapshot(double now, Snapshot books) {
+        for (QuotaSnapshot b : books.quotas()) inherit(now, books.takenAtMs(), b);
         if (!asks.isEmpty() || classes.values().stream().anyMatch(c -> c.samples > 0)) return;
-        perHost = Math.max(BOUND_MIN, Math.min(BOUND_MAX, books.perHost()));
+        perHost = Math.max(BOUND_MIN, Math.min(BOUND_MAX, books.concurrencyPerHost()));
         new SnapshotTransfer(customers, table, classes).readHealth(now, books.health());
         new SnapshotTransfer(customers, table, classes).readClasses(books.classes());
     }
 
-    private void inherit(double now, double at, CustomerBook b) {
+    private void inherit(double now, double at, QuotaSnapshot b) {
         boolean known = customers.containsKey(b.customer());
         Integer plan = planNumbers.get(b.plan());
-        Customer c = plan == null ? null : customer(now, b.customer(), plan, b.first(), b.spread());
+        Customer c = plan == null ? null : customer(now, b.customer(), plan, b.firstReplica(), b.replicaCount());
         if (c == null || c.planNumber != plan) return;
         if (known && c.inherited > State.NEVER) {
-            charge(c, Math.max(0, b.used() - c.inherited), 0);
+            charge(c, Math.max(0, b.usedUnits() - c.inherited), 0);
         } else {
             SnapshotTransfer.readCustomer(now, c, b, known ? c.used : 0);
             if (!known) c.touchedAt = Math.min(now, at);
             touch(now, c);
         }
-        c.inherited = Math.max(c.inherited, b.used());
+        c.inherited = Math.max(c.inherited, b.usedUnits());
     }
 
     // ---- admission by parts
@@ -395,12 +395,12 @@
             int wide = Math.max(1, Math.min(spread, peers.length));
             int[] keepers = State.ranked(id, first, wide, peers.length, KEEPERS);
             c = new Customer(id, plan, p, first, wide, keepers, now);
-            c.level = c.store = p.burst();
+            c.level = c.store = p.burstUnits();
             // As full as it ever is; by the meter no more than its part, or all first tries would be let in.
-            c.tokens = metered() ? p.burst() / c.spread : bucket(p, 1.0 / c.spread);
+            c.tokens = metered() ? p.burstUnits() / c.spread : bucket(p, 1.0 / c.spread);
             // The ceiling's store starts with what has filled since this gateway started, never with a burst:
             // before a restart this gateway may have spent it (rule 5).
-            double filled = (now - startedAt) / 1000 * p.ceilingRate() * ceilingShare(c);
+            double filled = (now - startedAt) / 1000 * p.ceilingUnitsPerSecond() * ceilingShare(c);
             c.ceiling = Math.min(ceilingHold(c), filled);
             customers.put(id, c);
         }
@@ -411,11 +411,11 @@
     /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
     private double ceilingShare(Customer c) {
         if (c.spread == 1) return 1;
-        return (c.keepers[0] == set.me() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
+        return (c.keepers[0] == set.gatewayIndex() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
     }
 
     private double ceilingHold(Customer c) {
-        return c.plan.ceilingBurst() * ceilingShare(c);
+        return c.plan.ceilingBurstUnits() * ceilingShare(c);
     }
 
     private void touch(double now, Customer c) {
@@ -429,31 +429,32 @@
         c.useRate *= fade;
         c.openPeak = Math.max(c.open, c.openPeak * fade);
         c.touchedAt = now;
-        c.level = Math.min(p.burst(), c.level + p.rate() * s);
+        c.level = Math.min(p.burstUnits(), c.level + p.unitsPerSecond() * s);
         // What is let in beyond the quota takes nothing from the store: others do not empty it below nought.
         double others = now - c.meterAt < METER_KEPT_MS ? c.meterOthers : 0;
-        c.store = Math.max(0, Math.min(p.burst(), c.store + (p.rate() - others) * s));
-        c.tokens = Math.min(bucket(p, part), c.tokens + part * p.rate() * s);
+        c.store = Math.max(0, Math.min(p.burstUnits(), c.store + (p.unitsPerSecond() - others) * s));
+        c.tokens = Math.min(bucket(p, part), c.tokens + part * p.unitsPerSecond() * s);
         // Units let in but not sent yet are still in the true store, and it may not overfill (rule 5).
-        c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + p.ceilingRate() * ceilingShare(c) * s);
+        c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + p.ceilingUnitsPerSecond() * ceilingShare(c) * s);
     }
 
     /** What a bucket holds: the burst times its part, and room for one request, or it could let in none. */
     private double bucket(Plan p, double part) {
-        return Math.max(part * p.burst(), Math.min(p.burst(), set.sharing().maxUnits()));
+        return Math.max(
+                part * p.burstUnits(), Math.min(p.burstUnits(), set.sharing().maxUnits()));
     }
 
     /** Whether gateways learn of each other's use by the meter alone. */
     private boolean metered() {
-        return !set.limits().peers() && set.sharing().meterPeriodMs() > 0;
+        return !set.limits().peerMessages() && set.sharing().meterPeriodMs() > 0;
     }
 
     /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
     private double part(double now, Customer c) {
         if (c.spread == 1) return 1;
-        if (!set.limits().peers()) return now - c.meterAt < METER_KEPT_MS ? c.meterPart : 1.0 / c.spread;
-        if (now - c.newsAt > RELAX_MS && keeper(now, c, 0) != set.me()) return 1.0 / c.spread;
-        double prior = EVEN_PRIOR * c.plan.rate();
+        if (!set.limits().peerMessages()) return now - c.meterAt < METER_KEPT_MS ? c.meterPart : 1.0 / c.spread;
+        if (now - c.newsAt > RELAX_MS && keeper(now, c, 0) != set.gatewayIndex()) return 1.0 / c.spread;
+        double prior = EVEN_PRIOR * c.plan.unitsPerSecond();
         return (c.demand + prior / c.spread) / (c.demand + c.others + prior);
     }
 
@@ -462,14 +463,14 @@
         for (int i = stage; i < c.keepers.length; i++) {
             int k = c.keepers[i];
             boolean last = i == c.keepers.length - 1;
-            if (k == set.me() ? last || !unsure(now, c) : now >= peers[k].silentTill) return k;
+            if (k == set.gatewayIndex() ? last || !unsure(now, c) : now >= peers[k].silentTill) return k;
         }
-        return c.keepers[0] == set.me() ? set.me() : -1;
+        return c.keepers[0] == set.gatewayIndex() ? set.gatewayIndex() : -1;
     }
 
     /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
     private boolean unsure(double now, Customer c) {
-        return !c.informed && (now - startedAt) / 1000 * c.plan.rate() < c.plan.burst();
+        return !c.informed && (now - startedAt) / 1000 * c.plan.unitsPerSecond() < c.plan.burstUnits();
     }
 
     private Verdict judge(double now, Ask ask) {
@@ -477,29 +478,29 @@
         double units = ask.request.units();
         c.demand += units / DEMAND_MS * 1000;
         Plan p = c.plan;
-        boolean excessPays = p.overWorth() > 0 && p.overWorth() >= p.overCost();
-        boolean limited = p.rate() > 0 && !excessPays;
+        boolean excessPays = p.overQuotaValue() > 0 && p.overQuotaValue() >= p.overQuotaCost();
+        boolean limited = p.unitsPerSecond() > 0 && !excessPays;
         if (!excessPays && !openAdmits(now, c) || limited && c.level < units) {
             if (now - c.toldAt > SYNC_MS) changed(now, c);
             return Verdict.OUT;
         }
-        boolean asks = set.limits().peers() && c.spread > 1;
+        boolean asks = set.limits().peerMessages() && c.spread > 1;
         if (!excessPays && metered() && c.spread > 1 && !oddsAdmit(now, ask)) return Verdict.OUT;
         int keeper = keeper(now, c, 0);
         boolean room = !limited
-                || keeper == set.me() && asks
+                || keeper == set.gatewayIndex() && asks
                 || c.tokens >= units && (!asks || now - c.newsAt < FRESH_MS)
                 || asks && now - c.newsAt < FRESH_MS && c.level - reserve(now, c) >= units
                 || metered() && meterAdmits(now, c, units);
-        boolean ceiling = p.ceilingRate() <= 0 || c.ceiling >= units; // rule 5: own units need no peer
+        boolean ceiling = p.ceilingUnitsPerSecond() <= 0 || c.ceiling >= units; // rule 5: own units need no peer
         if (room && ceiling) return Verdict.IN;
         return asks ? Verdict.ASK : Verdict.OUT;
     }
 
     /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
     private double reserve(double now, Customer c) {
-        double cost = c.plan.overCost() - c.plan.overWorth();
-        double rate = c.others + WARY * c.plan.rate();
+        double cost = c.plan.overQuotaCost() - c.plan.overQuotaValue();
+        double rate = c.others + WARY * c.plan.unitsPerSecond();
         return rate * (now - c.newsAt + LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
 
@@ -510,17 +511,17 @@
      */
     private static boolean meterAdmits(double now, Customer c, double units) {
         double age = now - c.meterAt;
-        if (age < FRESH_MS && c.meterTotal > c.plan.rate()) {
+        if (age < FRESH_MS && c.meterTotal > c.plan.unitsPerSecond()) {
             return c.store - c.meterOthers * (age + METER_LAG_MS) / 1000 >= units;
         }
-        return c.store >= Math.min(c.plan.burst(), SPARE * units);
+        return c.store >= Math.min(c.plan.burstUnits(), SPARE * units);
     }
 
     /** Whether a try is worth its odds of being beyond the quota, which the meter alone tells of. */
     private boolean oddsAdmit(double now, Ask ask) {
         Customer c = ask.customer;
         RequestClass spec = ask.cls.spec;
-        double inTime = ask.cls.times.shareWithin(spec.aimMs() / Math.max(1, ask.work()));
+        double inTime = ask.cls.times.shareWithin(spec.latencyObjectiveMs() / Math.max(1, ask.work()));
         double useful = inTime + (1 - inTime) * spec.lateValue();
         return odds(ask)
                 .admits(now, ask.request.units(), useful, LATE_COST * lateness.share(), now - c.meterAt, c.meterUse);
@@ -528,17 +529,17 @@
 
     /** Where clients mark a further try, one has been refused already: its odds are others. */
     private AdmissionOdds odds(Ask ask) {
-        Map<Integer, AdmissionOdds> ofPlans = ask.request.retry() ? retryOdds : firstOdds;
+        Map<Integer, AdmissionOdds> ofPlans = ask.request.clientRetry() ? retryOdds : firstOdds;
         return ofPlans.computeIfAbsent(
                 ask.customer.planNumber,
                 p -> new AdmissionOdds(ask.customer.plan, set.sharing().meterPeriodMs()));
     }
 
     private boolean openAdmits(double now, Customer c) {
-        int limit = c.plan.openLimit();
+        int limit = c.plan.concurrencyLimit();
         boolean fresh = c.spread == 1
-                || (set.limits().peers()
-                        ? keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS
+                || (set.limits().peerMessages()
+                        ? keeper(now, c, 0) == set.gatewayIndex() || now - c.newsAt < FRESH_MS
                         : now < c.peakTill);
         return limit <= 0
                 || now >= c.openNextAt
@@ -547,7 +548,7 @@
 
     /** When the store has filled enough, or a place may be had; every refusal tells a time to come back. */
     private static double refillMs(double now, Customer c, double units) {
-        return c.plan.rate() > 0 ? 1000 * (units - c.level) / c.plan.rate() : c.openNextAt - now;
+        return c.plan.unitsPerSecond() > 0 ? 1000 * (units - c.level) / c.plan.unitsPerSecond() : c.openNextAt - now;
     }
 
     private double waitTold(double ms) {
@@ -557,9 +558,9 @@
 
     /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
     private void charge(Customer c, double units, double ceilingUnits) {
-        c.tokens = Math.max(c.tokens - units, -c.plan.burst() / c.spread);
-        c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - units));
-        c.store = Math.max(0, Math.min(c.plan.burst(), c.store - units));
+        c.tokens = Math.max(c.tokens - units, -c.plan.burstUnits() / c.spread);
+        c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), c.level - units));
+        c.store = Math.max(0, Math.min(c.plan.burstUnits(), c.store - units));
         c.used += units;
         c.useRate += units / DEMAND_MS * 1000;
         c.unsent += ceilingUnits;
@@ -571,9 +572,9 @@
         if (usedPct <= 0 || !metered()) return;
         c.meterUse = (usedPct - 1) / 100.0;
         if (odds(ask).isUnknown(now - c.meterAt)) odds(ask).learn(now, ask.request.units(), c.meterUse);
-        if (c.plan.rate() <= 0) { // it tells the most attempts out at once of late, in percent of their limit
+        if (c.plan.unitsPerSecond() <= 0) { // it tells the most attempts out at once of late, in percent of their limit
             touch(now, c);
-            double peak = c.meterUse * c.plan.openLimit();
+            double peak = c.meterUse * c.plan.concurrencyLimit();
             c.othersOpen = c.spread == 1 ? 0 : (int) Math.max(0, Math.round(peak - c.openPeak));
             c.meterPart = 1.0 / c.spread;
             c.meterAt = now;
@@ -581,9 +582,9 @@
             c.peakTill = now + PEAK_TURNS * c.openTurnMs;
             return;
         }
-        double total = c.meterUse * c.plan.rate();
+        double total = c.meterUse * c.plan.unitsPerSecond();
         double part = total > 0 ? Math.min(1, c.useRate / total) : 1.0 / c.spread;
-        boolean rises = total < c.plan.rate() && c.demand > part * c.plan.rate();
+        boolean rises = total < c.plan.unitsPerSecond() && c.demand > part * c.plan.unitsPerSecond();
         double step = Math.min(EVEN_PRIOR, RISE_SHARE / c.spread);
         c.meterPart = rises ? Math.min(1, Math.max(part, c.meterPart) + step) : part;
         c.meterAt = now;
@@ -595,10 +596,10 @@
     private void question(double now, Ask ask, int stage) {
         Customer c = ask.customer;
         int keeper = stage < c.keepers.length ? keeper(now, c, stage) : -1;
-        if (keeper < 0 || keeper == set.me() || now + ANSWER_MS >= ask.deadline - DEADLINE_MS) {
+        if (keeper < 0 || keeper == set.gatewayIndex() || now + ANSWER_MS >= ask.deadline - DEADLINE_MS) {
             c.pending.remove(ask);
-            boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.request.units();
-            decide(now, ask, room && (c.plan.ceilingRate() <= 0 || c.ceiling >= ask.request.units()));
+            boolean room = c.plan.unitsPerSecond() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.request.units();
+            decide(now, ask, room && (c.plan.ceilingUnitsPerSecond() <= 0 || c.ceiling >= ask.request.units()));
             changed(now, c);
             return;
         }
@@ -617,7 +618,7 @@
         if (in) return;
         close(ask);
         Customer c = ask.customer;
-        act.refuse(ask.request.id(), waitTold(c == null ? FORGET_MS : refillMs(now, c, ask.request.units())));
+        act.reject(ask.request.id(), waitTold(c == null ? FORGET_MS : refillMs(now, c, ask.request.units())));
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
@@ -633,14 +634,14 @@
 
     /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
     private void changed(double now, Customer c) {
-        if (!set.limits().peers() || c.spread == 1) return;
+        if (!set.limits().peerMessages() || c.spread == 1) return;
         int keeper = keeper(now, c, 0);
-        if (keeper != set.me()) {
+        if (keeper != set.gatewayIndex()) {
             c.toldAt = now;
             if (keeper >= 0) outbox.queue(peers[keeper], c);
         } else if (now - c.toldAt > SYNC_MS) {
             c.toldAt = now;
-            IntStream.of(c.keepers).filter(k -> k != set.me()).forEach(k -> outbox.queue(peers[k], c));
+            IntStream.of(c.keepers).filter(k -> k != set.gatewayIndex()).forEach(k -> outbox.queue(peers[k], c));
         }
     }
 
@@ -657,7 +658,7 @@
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.silentTill
                 || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
-        boolean view = keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS;
+        boolean view = keeper(now, c, 0) == set.gatewayIndex() || now - c.newsAt < FRESH_MS;
         return Tell.Entry.asking(c, asked, view, want);
     }
 
@@ -668,8 +669,8 @@
     }
 
     @Override
-    public void peerSaid(double now, int from, byte[] data) {
-        Tell tell = from < 0 || from >= peers.length || from == set.me() ? null : Tell.read(data);
+    public void peerMessageReceived(double now, int from, byte[] data) {
+        Tell tell = from < 0 || from >= peers.length || from == set.gatewayIndex() ? null : Tell.read(data);
         if (tell == null) return; // unknown sender, or damaged
         Peer peer = peers[from];
         if (!outbox.takesIn(now, peer, tell)) return;
@@ -688,11 +689,11 @@
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
         Customer c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
         if (c == null) return;
-        if (IntStream.of(c.keepers).noneMatch(k -> k == set.me())) return;
+        if (IntStream.of(c.keepers).noneMatch(k -> k == set.gatewayIndex())) return;
         boolean unsure = unsure(now, c);
         boolean adopts = e.view() && (unsure || keeper(now, c, 0) == peer.number);
         if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
-            c.level = Math.min(unsure ? c.level : c.plan.burst(), e.fullness() * c.plan.burst());
+            c.level = Math.min(unsure ? c.level : c.plan.burstUnits(), e.fullness() * c.plan.burstUnits());
             c.informed = true;
         }
         Member m = c.member(peer);
@@ -706,14 +707,15 @@
         m.open = e.open();
         double spent = m.known && !adopts ? Math.max(-back, Tell.ahead(e.used(), m.booked)) : 0;
         m.known = true;
-        c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - spent));
-        boolean gives = e.ceiling() && c.plan.ceilingRate() > 0;
-        boolean grants =
-                e.want() > 0 && (c.plan.rate() <= 0 || c.level >= e.want()) && (!gives || c.ceiling >= e.want());
+        c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), c.level - spent));
+        boolean gives = e.ceiling() && c.plan.ceilingUnitsPerSecond() > 0;
+        boolean grants = e.want() > 0
+                && (c.plan.unitsPerSecond() <= 0 || c.level >= e.want())
+                && (!gives || c.ceiling >= e.want());
         m.granted = grants ? e.want() : 0;
         m.booked = e.used() + m.granted;
         c.level -= m.granted;
-        if (keeper(now, c, 0) == set.me() && spent + m.granted != 0) changed(now, c);
+        if (keeper(now, c, 0) == set.gatewayIndex() && spent + m.granted != 0) changed(now, c);
         if (grants && gives && e.reply()) { // deducted here first, so a lost message loses units
             c.ceiling -= e.want();
             m.given += e.want();
@@ -748,7 +750,7 @@
             c.othersOpen = e.open();
             c.newsAt = now;
             c.informed = true;
-            c.level = e.fullness() * c.plan.burst() - Tell.ahead(c.used, e.used());
+            c.level = e.fullness() * c.plan.burstUnits() - Tell.ahead(c.used, e.used());
         }
         double granted = e.want();
         for (Ask ask : judged) {
@@ -758,11 +760,11 @@
                 continue;
             }
             c.pending.remove(ask);
-            boolean in = granted >= units && (c.plan.ceilingRate() <= 0 || c.ceiling >= units);
+            boolean in = granted >= units && (c.plan.ceilingUnitsPerSecond() <= 0 || c.ceiling >= units);
             granted -= in ? units : 0;
             decide(now, ask, in);
             int first = c.keepers[0]; // it did not book what another let in
-            if (in && peer.number != first && first != set.me()) outbox.queue(peers[first], c);
+            if (in && peer.number != first && first != set.gatewayIndex()) outbox.queue(peers[first], c);
         }
     }
 
@@ -816,7 +818,7 @@
         ask.attempts.add(a);
         table.unsettled().add(s);
         if (!ask.arriving) place(now, a);
-        act.send(ask.request.id(), s.info.id(), 0);
+        act.sendAttempt(ask.request.id(), s.info.id(), 0);
     }
 
     /** An attempt begins to work; one whose request is still arriving does not yet. */
@@ -847,7 +849,7 @@
         // What reached no host by half of the client's time has cost it that time for nothing.
         double time = ask.deadline - ask.arrived;
         if (!ask.leftWhole()) end = Math.min(end, ask.arrived + UNSENT_SHARE * time);
-        double aim = ask.cls.spec.aimMs();
+        double aim = ask.cls.spec.latencyObjectiveMs();
         double useful = ask.cls.spec.lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrived + aim);
         double hold = useful - ask.arrived - FINISH_SHARE * ask.work();
         return Math.min(end, ask.arrived + Math.max(HOLD_SHARE * aim, hold));
@@ -867,11 +869,12 @@
         RequestClass spec = ask.cls.spec;
         if (ask.admitted && !ask.done) lateness.note(true);
         boolean harmless = ask.ran() == null
-                || spec.effect() == Effect.REPEATABLE
-                || spec.effect() == Effect.KEYED && spec.scope() == Scope.ALL;
+                || spec.idempotency() == Idempotency.IDEMPOTENT
+                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && spec.deduplicationScope() == DeduplicationScope.ALL;
         close(ask);
         // A place may be had once what is held now has left.
-        if (harmless) act.refuse(ask.request.id(), waitTold(ask.cls.queue.size() * ask.cls.releaseGap));
+        if (harmless) act.reject(ask.request.id(), waitTold(ask.cls.queue.size() * ask.cls.releaseGap));
         else act.fail(ask.request.id());
     }
 
@@ -915,7 +918,7 @@
     // ---- weights by donation
 
     static double goal(ClassState c) {
-        return c.spec.aimMs() * DELAY_GOAL;
+        return c.spec.latencyObjectiveMs() * DELAY_GOAL;
     }
 
     private static void noteDelay(ClassState c, double hold, double latency) {
@@ -985,8 +988,8 @@
     // ---- hosts
 
     private double rampOf(Server s, double now) {
-        double from = set.rules().coldFrom();
-        double done = (now - s.coldAt) / Math.max(1, set.rules().warmWithinMs());
+        double from = set.rules().coldStartCapacity();
+        double done = (now - s.coldAt) / Math.max(1, set.rules().slowStartMs());
         return done >= 1 ? 1 : Math.max(0.01, from + (1 - from) * Math.max(0, done));
     }
 
@@ -1010,10 +1013,10 @@
         int size = table.openCount();
         int kept = Math.max(HOMES, HOST_GATEWAYS * size / peers.length);
         boolean steady = peers.length > STEADY;
-        long me = set.me();
+        long me = set.gatewayIndex();
         long first = steady ? me * size / peers.length : me * kept % Math.max(1, size);
         List<Server> run = steady && kept >= ARC
-                ? table.arc(set.me(), HOST_GATEWAYS, peers.length, HOMES)
+                ? table.arc(set.gatewayIndex(), HOST_GATEWAYS, peers.length, HOMES)
                 : table.run((int) first, Math.min(kept, size));
         if (run != homes || surveyedAt == now) coldest = HostTable.lastStarted(run);
         homes = run;
@@ -1040,9 +1043,10 @@
 
     /** All hosts; of very many some from a drawn one on, among those that an unsure attempt's key allows. */
     private List<Server> others(Ask ask) {
-        boolean keyed = table.openCount() > COMPARED && ask.cls.spec.effect() == Effect.KEYED;
+        boolean keyed = table.openCount() > COMPARED && ask.cls.spec.idempotency() == Idempotency.IDEMPOTENCY_KEY;
         Host ran = keyed && ask.ran() != null ? ask.ran().server.info : null;
-        Collection<RankedHosts> legal = table.open(ran, ran == null ? Scope.ALL : ask.cls.spec.scope());
+        Collection<RankedHosts> legal =
+                table.open(ran, ran == null ? DeduplicationScope.ALL : ask.cls.spec.deduplicationScope());
         int count = legal.stream().mapToInt(RankedHosts::size).sum();
         int from = count > COMPARED ? random.nextInt(count) : 0;
         return HostTable.round(legal, from, Math.min(COMPARED, count));
@@ -1071,7 +1075,7 @@
 
     /** What may go to a host as a share of what a full one gets; over 1 where it is nearly warm (rule 4). */
     private double coldShare(Server s, double now) {
-        return COLD_SAFETY * set.rules().fallMultiple() * rampOf(s, now);
+        return COLD_SAFETY * set.rules().overloadMultiple() * rampOf(s, now);
     }
 
     private double able(double now, Server s, ClassState c) {
@@ -1088,7 +1092,7 @@
     }
 
     private void noteLoad(double now, Server s, double[] report) {
-        int place = set.reportNames().indexOf(IN_WORK);
+        int place = set.loadReportFields().indexOf(IN_WORK);
         if (place < 0 || place >= report.length) return;
         s.reported = report[place];
         s.reportedAt = now;
@@ -1138,16 +1142,17 @@
     private boolean legal(double now, Ask ask, Attempt ran, Server s) {
         return repeatable(now, ask, ran)
                 && (ran == null
-                        || ask.cls.spec.effect() != Effect.KEYED
-                        || ask.cls.spec.scope().together(s.info, ran.server.info));
+                        || ask.cls.spec.idempotency() != Idempotency.IDEMPOTENCY_KEY
+                        || ask.cls.spec.deduplicationScope().isSharedBy(s.info, ran.server.info));
     }
 
     private boolean repeatable(double now, Ask ask, Attempt ran) {
         RequestClass spec = ask.cls.spec;
         double arrives = now + set.limits().connectTimeoutMs(); // at the latest, on a new connection
         return ran == null
-                || spec.effect() == Effect.REPEATABLE
-                || spec.effect() == Effect.KEYED && arrives < ran.sentAt + WINDOW_SHARE * spec.windowMs();
+                || spec.idempotency() == Idempotency.IDEMPOTENT
+                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && arrives < ran.sentAt + WINDOW_SHARE * spec.deduplicationWindowMs();
     }
 
     private boolean mayTryAgain(double now, Ask ask) {
@@ -1175,7 +1180,7 @@
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
                 noteDelay(c, 0, r.latencyMs());
-                lateness.note(now - ask.arrived > c.spec.aimMs());
+                lateness.note(now - ask.arrived > c.spec.latencyObjectiveMs());
                 c.times.add((now - ask.arrived) / Math.max(1, ask.work()));
                 if (ask.customer != null && set.sharing().postPaid() && r.trueUnits() > 0) {
                     charge(ask.customer, r.trueUnits() - ask.request.units(), 0);
@@ -1183,7 +1188,7 @@
             }
                 // No connection, and again none: down or full, the host takes nothing from us now.
             case CONNECT_FAILED -> s.health().noteFailure(1, now);
-            case FULL -> s.health().note(BAD_ANSWER, FAILED_GAIN, now);
+            case REJECTED -> s.health().note(BAD_ANSWER, FAILED_GAIN, now);
             case ERROR, RESET, TIMEOUT -> {
                 s.of(c).noteFailure(FAILED_GAIN, now);
                 // Among many gateways each meets a host too seldom to convict it class by class.
@@ -1195,15 +1200,15 @@
             }
             default -> {}
         }
-        noteLoad(now, s, r.report());
+        noteLoad(now, s, r.loadReport());
         if (r.outcome() == Outcome.TIMEOUT) timeOuts++;
         if (r.outcome() == Outcome.OK) {
             latencySum += r.latencyMs();
             baseSum += c.base * ask.request.units();
-            aimShareSum += r.latencyMs() / c.spec.aimMs();
+            aimShareSum += r.latencyMs() / c.spec.latencyObjectiveMs();
             answers++;
         }
-        if (ask.customer != null) meter(now, ask, r.usedPct());
+        if (ask.customer != null) meter(now, ask, r.quotaUsedPercent());
     }
 
     private void watchHealth(double now) {
@@ -1215,17 +1220,17 @@
                 a.overdue = true;
                 s.of(a.ask.cls).noteFailure(FAILED_GAIN, now);
                 boolean useful = !a.ask.done && !a.ask.streaming && now + a.work < giveUpAt(a.ask);
-                boolean safe =
-                        a.ask.cls.spec.effect() != Effect.ONCE && set.limits().cancel();
-                if (useful && safe && retryTokens >= 1) act.cancel(a.ask.request.id(), a.number);
+                boolean safe = a.ask.cls.spec.idempotency() != Idempotency.NOT_IDEMPOTENT
+                        && set.limits().cancellation();
+                if (useful && safe && retryTokens >= 1) act.cancelAttempt(a.ask.request.id(), a.number);
             }
         }
     }
 
     /** From then on an idle customer's stores are as full as those of a new one: forgetting gives nothing. */
     private static double forgetMs(Plan p) {
-        double quota = p.rate() > 0 ? p.burst() / p.rate() : 0;
-        double ceiling = p.ceilingRate() > 0 ? p.ceilingBurst() / p.ceilingRate() : 0;
+        double quota = p.unitsPerSecond() > 0 ? p.burstUnits() / p.unitsPerSecond() : 0;
+        double ceiling = p.ceilingUnitsPerSecond() > 0 ? p.ceilingBurstUnits() / p.ceilingUnitsPerSecond() : 0;
         return Math.max(FORGET_MS, FILLED * 1000 * Math.max(quota, ceiling));
     }
 
--- a/src/main/java/caperrudder/HostTable.java
+++ b/src/main/java/caperrudder/HostTable.java
@@ -1,9 +1,9 @@
 package caperrudder;
 
 import caperrudder.State.Server;
+import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
-import caperrudder.api.Scope;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashSet;
@@ -67,7 +67,7 @@
             s = new Server(h);
             all.add(key, s);
         }
-        if (s.counted && !Scope.CELL.together(s.info, h)) close(s); // it changes its zone or cell
+        if (s.counted && !DeduplicationScope.CELL.isSharedBy(s.info, h)) close(s); // it changes its zone or cell
         s.info = h;
         listed += (h.state() != HostState.GONE ? 1 : 0) - (s.listed ? 1 : 0);
         s.listed = h.state() != HostState.GONE;
@@ -194,10 +194,10 @@
     }
 
     /** The open hosts that drop repeats together with this one; of all hosts, it may be null. */
-    Collection<RankedHosts> open(Host with, Scope scope) {
-        if (scope == Scope.ALL) return List.of(open);
+    Collection<RankedHosts> open(Host with, DeduplicationScope scope) {
+        if (scope == DeduplicationScope.ALL) return List.of(open);
         Map<Integer, RankedHosts> zone = places.getOrDefault(with.zone(), Map.of());
-        if (scope == Scope.ZONE) return zone.values();
+        if (scope == DeduplicationScope.ZONE) return zone.values();
         RankedHosts cell = zone.get(with.cell());
         return cell == null ? List.of() : List.of(cell);
     }
--- a/src/main/java/caperrudder/PeerOutbox.java
+++ b/src/main/java/caperrudder/PeerOutbox.java
@@ -2,7 +2,7 @@
 
 import caperrudder.State.Customer;
 import caperrudder.State.Peer;
-import caperrudder.api.Actions;
+import caperrudder.api.PolicyActions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -26,14 +26,14 @@
     }
 
     private final int gateways;
-    private final Actions actions;
+    private final PolicyActions actions;
     private final double perMs;
     private final int epoch;
     private final ArrayDeque<Peer> waiting = new ArrayDeque<>();
     private double allowance;
     private double refilledAt;
 
-    PeerOutbox(double now, int gateways, double intakePerSecond, Actions actions) {
+    PeerOutbox(double now, int gateways, double intakePerSecond, PolicyActions actions) {
         this.gateways = gateways;
         this.actions = actions;
         this.perMs = Math.max(1, intakePerSecond) * INTAKE_SHARE / 1000;
@@ -78,7 +78,7 @@
             }
         }
         peer.toldAt = now;
-        actions.tell(peer.number, new Tell(epoch, peer.epoch, peer.serial, peer.heardSerial, written).bytes());
+        actions.sendToPeer(peer.number, new Tell(epoch, peer.epoch, peer.serial, peer.heardSerial, written).bytes());
     }
 
     /** Notes a message of a peer; false for one overtaken on the way, told twice or of another life. */
--- a/src/main/java/caperrudder/SnapshotTransfer.java
+++ b/src/main/java/caperrudder/SnapshotTransfer.java
@@ -4,10 +4,10 @@
 import caperrudder.State.Customer;
 import caperrudder.State.Health;
 import caperrudder.State.Server;
-import caperrudder.api.Books;
-import caperrudder.api.ClassBook;
-import caperrudder.api.CustomerBook;
-import caperrudder.api.HealthBook;
+import caperrudder.api.ClassSnapshot;
+import caperrudder.api.HealthSnapshot;
+import caperrudder.api.QuotaSnapshot;
+import caperrudder.api.Snapshot;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -29,18 +29,18 @@
     }
 
     /** {@code refill} brings a customer's stores up to now. */
-    Books write(double now, double attemptsPerHost, Consumer<Customer> refill) {
-        List<HealthBook> health = new ArrayList<>();
+    Snapshot write(double now, double attemptsPerHost, Consumer<Customer> refill) {
+        List<HealthSnapshot> health = new ArrayList<>();
         hosts.unsettled().stream().filter(s -> s.listed).forEach(s -> s.writeHealth(health));
-        return new Books(now, attemptsPerHost, writeCustomers(refill), health, writeClasses());
+        return new Snapshot(now, attemptsPerHost, writeCustomers(refill), health, writeClasses());
     }
 
-    private List<CustomerBook> writeCustomers(Consumer<Customer> refill) {
+    private List<QuotaSnapshot> writeCustomers(Consumer<Customer> refill) {
         return customers.values().stream()
                 .sorted(Comparator.comparingDouble(c -> -c.touchedAt))
                 .limit(CUSTOMERS_MAX)
                 .peek(refill)
-                .map(c -> new CustomerBook(
+                .map(c -> new QuotaSnapshot(
                         c.id,
                         c.plan.name(),
                         c.first,
@@ -57,48 +57,49 @@
                 .toList();
     }
 
-    private List<ClassBook> writeClasses() {
+    private List<ClassSnapshot> writeClasses() {
         return classes.values().stream()
-                .map(c -> new ClassBook(c.spec.name(), c.weight, c.latencyPerUnit, c.base, c.samples, c.delay, c.slope))
+                .map(c -> new ClassSnapshot(
+                        c.spec.name(), c.weight, c.latencyPerUnit, c.base, c.samples, c.delay, c.slope))
                 .toList();
     }
 
     /** What both processes count from a full store is in the other's snapshot alone, so what was spent here goes off. */
-    static void readCustomer(double now, Customer c, CustomerBook b, double spent) {
-        c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), b.level()) - spent);
-        c.tokens = Math.min(c.plan.burst(), b.tokens()) - spent;
-        c.store = Math.max(0, Math.min(c.plan.burst(), b.store()) - spent);
-        c.demand += b.demand();
-        c.useRate += b.useRate();
-        c.meterPart = b.meterPart();
-        c.meterOthers = b.meterOthers();
-        c.meterTotal = b.meterOthers() + b.useRate();
-        c.meterUse = c.plan.rate() > 0 ? c.meterTotal / c.plan.rate() : 0;
-        c.meterAt = Math.min(now, b.meterAt());
+    static void readCustomer(double now, Customer c, QuotaSnapshot b, double spent) {
+        c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), b.sharedLevel()) - spent);
+        c.tokens = Math.min(c.plan.burstUnits(), b.localTokens()) - spent;
+        c.store = Math.max(0, Math.min(c.plan.burstUnits(), b.meteredLevel()) - spent);
+        c.demand += b.demandPerSecond();
+        c.useRate += b.usePerSecond();
+        c.meterPart = b.meteredShare();
+        c.meterOthers = b.meteredOthersPerSecond();
+        c.meterTotal = b.meteredOthersPerSecond() + b.usePerSecond();
+        c.meterUse = c.plan.unitsPerSecond() > 0 ? c.meterTotal / c.plan.unitsPerSecond() : 0;
+        c.meterAt = Math.min(now, b.meteredAtMs());
         c.informed = true;
     }
 
-    void readHealth(double now, List<HealthBook> health) {
-        for (HealthBook b : health) {
+    void readHealth(double now, List<HealthSnapshot> health) {
+        for (HealthSnapshot b : health) {
             Server s = hosts.find(b.host());
             if (s == null || !b.requestClass().isEmpty() && !classes.containsKey(b.requestClass())) continue;
             Health h = s.of(b.requestClass());
-            h.slow = Math.max(0, Math.min(Health.SLOWEST, b.slow()));
-            h.at = Math.min(now, b.at());
-            h.failures = b.failures();
+            h.slow = Math.max(0, Math.min(Health.SLOWEST, b.latencyPenalty()));
+            h.at = Math.min(now, b.updatedAtMs());
+            h.failures = b.failuresSinceSuccess();
             hosts.unsettled().add(s);
         }
     }
 
     /** Weights hold for all classes or for none. */
-    void readClasses(List<ClassBook> books) {
-        List<String> named = books.stream().map(ClassBook::name).toList();
+    void readClasses(List<ClassSnapshot> books) {
+        List<String> named = books.stream().map(ClassSnapshot::name).toList();
         if (!named.equals(List.copyOf(classes.keySet()))) return;
-        for (ClassBook b : books) {
+        for (ClassSnapshot b : books) {
             ClassState c = classes.get(b.name());
             c.weight = b.weight();
             c.latencyPerUnit = b.latencyPerUnit();
-            c.base = b.base();
+            c.base = b.baseLatencyPerUnit();
             c.samples = b.samples();
             c.delay = b.delay();
             c.slope = b.slope();
--- a/src/main/java/caperrudder/State.java
+++ b/src/main/java/caperrudder/State.java
@@ -1,6 +1,6 @@
 package caperrudder;
 
-import caperrudder.api.HealthBook;
+import caperrudder.api.HealthSnapshot;
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
 import caperrudder.api.Plan;
@@ -152,7 +152,7 @@
         }
 
         double fullness() {
-            return plan.burst() > 0 ? level / plan.burst() : 1;
+            return plan.burstUnits() > 0 ? level / plan.burstUnits() : 1;
         }
 
         double pendingUnits() {
@@ -253,9 +253,9 @@
             return health == null && byClass.isEmpty() && out.isEmpty();
         }
 
-        void writeHealth(List<HealthBook> to) {
-            if (health != null) to.add(new HealthBook(info.id(), "", health.slow, health.at, health.failures));
-            byClass.forEach((c, h) -> to.add(new HealthBook(info.id(), c, h.slow, h.at, h.failures)));
+        void writeHealth(List<HealthSnapshot> to) {
+            if (health != null) to.add(new HealthSnapshot(info.id(), "", health.slow, health.at, health.failures));
+            byClass.forEach((c, h) -> to.add(new HealthSnapshot(info.id(), c, h.slow, h.at, h.failures)));
         }
 
         boolean open() {
@@ -310,7 +310,7 @@
             this.customer = customer;
             this.arrived = request.arrivedMs();
             this.deadline = request.deadlineMs();
-            this.arriving = request.arriving();
+            this.arriving = request.bodyPending();
         }
 
         /** Time that the class's requests of this size have been taking. */
--- a/src/main/java/caperrudder/Tell.java
+++ b/src/main/java/caperrudder/Tell.java
@@ -49,7 +49,7 @@
             double given) {
         /** From a gateway of the customer's set. */
         static Entry asking(Customer c, boolean reply, boolean view, double want) {
-            boolean ceiling = c.plan.ceilingRate() > 0 && c.ceiling < want;
+            boolean ceiling = c.plan.ceilingUnitsPerSecond() > 0 && c.ceiling < want;
             return new Entry(
                     false,
                     reply,
@@ -73,7 +73,7 @@
             return new Entry(
                     true,
                     false,
-                    c.plan.ceilingRate() > 0,
+                    c.plan.ceilingUnitsPerSecond() > 0,
                     unsure,
                     false,
                     c.id,
--- a/src/main/java/caperrudder/api/AttemptResult.java
+++ b/src/main/java/caperrudder/api/AttemptResult.java
@@ -2,12 +2,12 @@
 
 /** How an attempt ended; {@code usedPct} is 0 and {@code trueUnits} is 0 where nothing was told. */
 public record AttemptResult(
-        String id,
+        String requestId,
         int attempt,
         String host,
         Outcome outcome,
         double latencyMs,
-        boolean closed,
-        int usedPct,
+        boolean requestClosed,
+        int quotaUsedPercent,
         double trueUnits,
-        double[] report) {}
+        double[] loadReport) {}
--- a/src/main/java/caperrudder/api/Cluster.java
+++ b/src/main/java/caperrudder/api/ClusterHealth.java
@@ -1,4 +1,4 @@
 package caperrudder.api;
 
 /** The hosts as a gateway judges them: how many its list holds, and how many of those it avoids now. */
-public record Cluster(int size, int unhealthy) {}
+public record ClusterHealth(int size, int unhealthy) {}
--- a/src/main/java/caperrudder/api/Scope.java
+++ b/src/main/java/caperrudder/api/DeduplicationScope.java
@@ -1,13 +1,13 @@
 package caperrudder.api;
 
 /** The hosts that drop repeats of one key. */
-public enum Scope {
+public enum DeduplicationScope {
     ALL,
     ZONE,
     CELL;
 
     /** True where both hosts drop repeats of the same keys. */
-    public boolean together(Host a, Host b) {
+    public boolean isSharedBy(Host a, Host b) {
         return this == ALL || a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell());
     }
 }
--- a/src/main/java/caperrudder/api/Effect.java
+++ /dev/null
@@ -1,8 +0,0 @@
-package caperrudder.api;
-
-/** What repeating a request of a class does. */
-public enum Effect {
-    REPEATABLE,
-    KEYED,
-    ONCE
-}
--- a/src/main/java/caperrudder/api/Host.java
+++ b/src/main/java/caperrudder/api/Host.java
@@ -1,3 +1,3 @@
 package caperrudder.api;
 
-public record Host(String id, String zone, String kind, int cell, HostState state, double rating, double startedMs) {}
+public record Host(String id, String zone, String kind, int cell, HostState state, double weight, double startedMs) {}
--- a/src/main/java/caperrudder/api/ListKind.java
+++ b/src/main/java/caperrudder/api/HostListKind.java
@@ -1,7 +1,7 @@
 package caperrudder.api;
 
 /** How a list of hosts is to be read: changes, all, what was held before a restart, or none (a call failed). */
-public enum ListKind {
+public enum HostListKind {
     CHANGES,
     FULL,
     CACHED,
--- a/src/main/java/caperrudder/api/Limits.java
+++ b/src/main/java/caperrudder/api/Limits.java
@@ -2,10 +2,10 @@
 
 public record Limits(
         int maxAttempts,
-        boolean duplicates,
-        boolean cancel,
-        boolean probes,
-        boolean peers,
+        boolean hedging,
+        boolean cancellation,
+        boolean healthChecks,
+        boolean peerMessages,
         boolean retryAfter,
         double maxRetryAfterMs,
         double connectTimeoutMs) {}
--- a/src/main/java/caperrudder/api/Outcome.java
+++ b/src/main/java/caperrudder/api/Outcome.java
@@ -4,16 +4,16 @@
 public enum Outcome {
     OK,
     ERROR,
-    FULL,
+    REJECTED,
     TIMEOUT,
     CONNECT_FAILED,
     RESET,
     CANCELLED,
-    MOOT,
-    SPOILT;
+    NOT_SENT,
+    MALFORMED;
 
     /** True where the outcome proves that the host never ran the request. */
     public boolean neverRan() {
-        return this == FULL || this == CONNECT_FAILED || this == MOOT;
+        return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
     }
 }
--- a/src/main/java/caperrudder/api/Request.java
+++ b/src/main/java/caperrudder/api/Request.java
@@ -8,14 +8,14 @@
         String id,
         double deadlineMs,
         double arrivedMs,
-        boolean retry,
+        boolean clientRetry,
         String requestClass,
         long customer,
         String plan,
         double units,
-        int first,
-        int spread,
-        boolean arriving) {
+        int firstReplica,
+        int replicaCount,
+        boolean bodyPending) {
     public Request(
             String id,
             double deadlineMs,
--- a/src/main/java/caperrudder/api/RequestClass.java
+++ b/src/main/java/caperrudder/api/RequestClass.java
@@ -2,11 +2,11 @@
 
 public record RequestClass(
         String name,
-        Effect effect,
-        Scope scope,
-        double windowMs,
-        double aimMs,
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
+        double deduplicationWindowMs,
+        double latencyObjectiveMs,
         double deadlineMs,
-        double worth,
+        double priorityWeight,
         double lateValue,
         boolean streaming) {}
--- a/src/main/java/caperrudder/api/Rules.java
+++ b/src/main/java/caperrudder/api/Rules.java
@@ -1,10 +1,10 @@
 package caperrudder.api;
 
 public record Rules(
-        double answerSlackMs,
+        double responseSlackMs,
         double drainGraceMs,
-        double fallMultiple,
-        double fallMs,
-        double coldFrom,
-        double warmWithinMs,
-        double askWithinMs) {}
+        double overloadMultiple,
+        double overloadWindowMs,
+        double coldStartCapacity,
+        double slowStartMs,
+        double pollWithinMs) {}
--- a/src/main/java/caperrudder/api/Settings.java
+++ b/src/main/java/caperrudder/api/Settings.java
@@ -4,13 +4,13 @@
 
 public record Settings(
         long seed,
-        int me,
-        int gateways,
+        int gatewayIndex,
+        int gatewayCount,
         String zone,
-        boolean subscribe,
+        boolean subscribesToHosts,
         List<RequestClass> classes,
         List<Plan> plans,
-        List<String> reportNames,
+        List<String> loadReportFields,
         Limits limits,
         Rules rules,
         Sharing sharing) {}
--- a/src/main/java/caperrudder/api/Sharing.java
+++ b/src/main/java/caperrudder/api/Sharing.java
@@ -7,7 +7,7 @@
         double meterPeriodMs,
         boolean postPaid,
         double maxUnits,
-        double mailPerSecond,
-        double peerPrice,
-        double probePrice,
-        double zonePrice) {}
+        double peerMessagesPerSecond,
+        double peerMessagePrice,
+        double healthCheckPrice,
+        double crossZonePrice) {}
--- a/src/main/java/caperrudder/net/BooksFormat.java
+++ b/src/main/java/caperrudder/net/BooksFormat.java
@@ -1,9 +1,9 @@
 package caperrudder.net;
 
-import caperrudder.api.Books;
-import caperrudder.api.ClassBook;
-import caperrudder.api.CustomerBook;
-import caperrudder.api.HealthBook;
+import caperrudder.api.ClassSnapshot;
+import caperrudder.api.HealthSnapshot;
+import caperrudder.api.QuotaSnapshot;
+import caperrudder.api.Snapshot;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -27,41 +27,41 @@
         T read(DataInputStream in) throws IOException;
     }
 
-    static byte[] write(Books books) {
+    static byte[] write(Snapshot books) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeInt(VERSION);
-            out.writeDouble(books.at());
-            out.writeDouble(books.perHost());
-            out.writeInt(books.customers().size());
-            for (CustomerBook c : books.customers()) {
+            out.writeDouble(books.takenAtMs());
+            out.writeDouble(books.concurrencyPerHost());
+            out.writeInt(books.quotas().size());
+            for (QuotaSnapshot c : books.quotas()) {
                 out.writeLong(c.customer());
                 out.writeUTF(c.plan());
-                out.writeInt(c.first());
-                out.writeInt(c.spread());
+                out.writeInt(c.firstReplica());
+                out.writeInt(c.replicaCount());
                 doubles(
                         out,
-                        c.level(),
-                        c.tokens(),
-                        c.store(),
-                        c.demand(),
-                        c.used(),
-                        c.useRate(),
-                        c.meterPart(),
-                        c.meterAt(),
-                        c.meterOthers());
+                        c.sharedLevel(),
+                        c.localTokens(),
+                        c.meteredLevel(),
+                        c.demandPerSecond(),
+                        c.usedUnits(),
+                        c.usePerSecond(),
+                        c.meteredShare(),
+                        c.meteredAtMs(),
+                        c.meteredOthersPerSecond());
             }
             out.writeInt(books.health().size());
-            for (HealthBook h : books.health()) {
+            for (HealthSnapshot h : books.health()) {
                 out.writeUTF(h.host());
                 out.writeUTF(h.requestClass());
-                doubles(out, h.slow(), h.at());
-                out.writeInt(h.failures());
+                doubles(out, h.latencyPenalty(), h.updatedAtMs());
+                out.writeInt(h.failuresSinceSuccess());
             }
             out.writeInt(books.classes().size());
-            for (ClassBook c : books.classes()) {
+            for (ClassSnapshot c : books.classes()) {
                 out.writeUTF(c.name());
-                doubles(out, c.weight(), c.latencyPerUnit(), c.base());
+                doubles(out, c.weight(), c.latencyPerUnit(), c.baseLatencyPerUnit());
                 out.writeInt(c.samples());
                 doubles(out, c.delay(), c.slope());
             }
@@ -73,7 +73,7 @@
     }
 
     /** Null where the bytes are torn, damaged or of another version. */
-    static Books read(byte[] bytes) {
+    static Snapshot read(byte[] bytes) {
         int length = bytes.length - SUM_BYTES;
         if (length < 0) {
             return null;
@@ -84,7 +84,7 @@
             }
             double at = in.readDouble();
             double perHost = in.readDouble();
-            return new Books(
+            return new Snapshot(
                     at,
                     perHost,
                     list(in, BooksFormat::customer),
@@ -95,8 +95,8 @@
         }
     }
 
-    private static CustomerBook customer(DataInputStream in) throws IOException {
-        return new CustomerBook(
+    private static QuotaSnapshot customer(DataInputStream in) throws IOException {
+        return new QuotaSnapshot(
                 in.readLong(),
                 in.readUTF(),
                 in.readInt(),
@@ -112,12 +112,12 @@
                 in.readDouble());
     }
 
-    private static HealthBook health(DataInputStream in) throws IOException {
-        return new HealthBook(in.readUTF(), in.readUTF(), in.readDouble(), in.readDouble(), in.readInt());
+    private static HealthSnapshot health(DataInputStream in) throws IOException {
+        return new HealthSnapshot(in.readUTF(), in.readUTF(), in.readDouble(), in.readDouble(), in.readInt());
     }
 
-    private static ClassBook requestClass(DataInputStream in) throws IOException {
-        return new ClassBook(
+    private static ClassSnapshot requestClass(DataInputStream in) throws IOException {
+        return new ClassSnapshot(
                 in.readUTF(),
                 in.readDouble(),
                 in.readDouble(),
--- a/src/main/java/caperrudder/net/Discovery.java
+++ b/src/main/java/caperrudder/net/Discovery.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.api.ListKind;
+import caperrudder.api.HostListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -66,7 +66,7 @@
         this.node = node;
         this.agent = node.config.discovery();
         this.times = new DiscoveryTimes(
-                !node.config.settings().subscribe(),
+                !node.config.settings().subscribesToHosts(),
                 node.config.settings().rules().drainGraceMs(),
                 node.config.settings().seed());
         this.heard = node.loop.newPromise();
@@ -343,7 +343,7 @@
                 ctx.close();
             }
             if (told.full() || !told.entries().isEmpty()) {
-                node.hostsTold(told.full() ? ListKind.FULL : ListKind.CHANGES, told.entries());
+                node.hostsTold(told.full() ? HostListKind.FULL : HostListKind.CHANGES, told.entries());
             }
         }
 
--- a/src/main/java/caperrudder/net/DrainTimes.java
+++ b/src/main/java/caperrudder/net/DrainTimes.java
@@ -19,7 +19,7 @@
     static DrainTimes of(List<RequestClass> classes) {
         double deadline = Math.min(DEADLINE_MAX_MS, longest(classes, RequestClass::deadlineMs));
         double end = Math.min(END_MAX_MS, deadline + KILL_AFTER_MS - LAST_MS);
-        double serve = end - longest(classes, RequestClass::aimMs);
+        double serve = end - longest(classes, RequestClass::latencyObjectiveMs);
         return new DrainTimes(ACCEPT_MS, Math.max(ACCEPT_MS, (long) serve), Math.max(ACCEPT_MS, (long) end));
     }
 
--- a/src/main/java/caperrudder/net/Figures.java
+++ b/src/main/java/caperrudder/net/Figures.java
@@ -1,13 +1,13 @@
 package caperrudder.net;
 
-import caperrudder.api.Cluster;
+import caperrudder.api.ClusterHealth;
 import java.util.List;
 
 /**
  * What this process has done since its start and what it has in hand, at one moment. Immutable: the only thing that
  * crosses from the event loop to the second address.
  */
-record Figures(List<Ended> classes, long sends, long current, Cluster cluster) {
+record Figures(List<Ended> classes, long sends, long current, ClusterHealth cluster) {
     /** How the requests of one class ended. */
     record Ended(String name, long answered, long deferred, long errored) {}
 
--- a/src/main/java/caperrudder/net/HandoverFiles.java
+++ b/src/main/java/caperrudder/net/HandoverFiles.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.api.Books;
+import caperrudder.api.Snapshot;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -40,7 +40,7 @@
         return m.matches() ? new Claim(Long.parseLong(m.group(1)), Boolean.parseBoolean(m.group(2))) : null;
     }
 
-    void write(Books b) throws IOException {
+    void write(Snapshot b) throws IOException {
         byte[] bytes = BooksFormat.write(b);
         if (bytes.length <= BooksFormat.MAX_BYTES) {
             write(books, bytes);
@@ -48,7 +48,7 @@
     }
 
     /** Null where there are none. */
-    Books books() {
+    Snapshot books() {
         return BooksFormat.read(read(books, BooksFormat.MAX_BYTES));
     }
 
--- a/src/main/java/caperrudder/net/HostClient.java
+++ b/src/main/java/caperrudder/net/HostClient.java
@@ -1,7 +1,7 @@
 package caperrudder.net;
 
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -107,7 +107,7 @@
 
     // ---- the list
 
-    void listed(ListKind kind, List<HostList.Entry> entries) {
+    void listed(HostListKind kind, List<HostList.Entry> entries) {
         Set<String> named = new HashSet<>();
         for (HostList.Entry e : entries) {
             String id = e.host().id();
@@ -128,7 +128,7 @@
                 now.draining = e.host().state() == HostState.DRAINING;
             }
         }
-        if (kind != ListKind.CHANGES) {
+        if (kind != HostListKind.CHANGES) {
             pools.entrySet().removeIf(p -> {
                 boolean absent = !named.contains(p.getKey());
                 if (absent) {
@@ -222,7 +222,7 @@
     }
 
     void probe(String host) {
-        List<String> names = node.config.settings().reportNames();
+        List<String> names = node.config.settings().loadReportFields();
         String path = names.isEmpty() ? "/healthz" : "/load";
         double sentAt = node.clock.now();
         HostConnection.Exchange probe = new HostConnection.Exchange() {
@@ -333,7 +333,7 @@
 
     /** The named values of {@code TEXT a=1, b=2}, in the order of the settings; empty where one is missing. */
     private double[] parse(String text) {
-        List<String> names = node.config.settings().reportNames();
+        List<String> names = node.config.settings().loadReportFields();
         Map<String, Double> told = new HashMap<>();
         for (String part : text.substring(text.indexOf(' ') + 1).split(",")) {
             int equals = part.indexOf('=');
--- a/src/main/java/caperrudder/net/HostConnection.java
+++ b/src/main/java/caperrudder/net/HostConnection.java
@@ -275,7 +275,7 @@
 
     /** No answer will come of this, whatever else comes; the host has run the request all the same. */
     private void spoilt() {
-        end(Outcome.SPOILT, null);
+        end(Outcome.MALFORMED, null);
         close();
     }
 
@@ -476,7 +476,7 @@
         }
         boolean turnedAway = code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                 || code == HttpResponseStatus.GATEWAY_TIMEOUT.code();
-        return turnedAway && "1".equals(response.headers().get(NEVER_RAN)) ? Outcome.FULL : Outcome.ERROR;
+        return turnedAway && "1".equals(response.headers().get(NEVER_RAN)) ? Outcome.REJECTED : Outcome.ERROR;
     }
 
     @Override
--- a/src/main/java/caperrudder/net/Node.java
+++ b/src/main/java/caperrudder/net/Node.java
@@ -1,15 +1,15 @@
 package caperrudder.net;
 
 import caperrudder.Brain;
-import caperrudder.api.Actions;
 import caperrudder.api.AttemptResult;
-import caperrudder.api.Books;
-import caperrudder.api.Cluster;
-import caperrudder.api.Events;
+import caperrudder.api.ClusterHealth;
 import caperrudder.api.Host;
-import caperrudder.api.ListKind;
+import caperrudder.api.HostListKind;
 import caperrudder.api.Outcome;
+import caperrudder.api.PolicyActions;
+import caperrudder.api.PolicyEvents;
 import caperrudder.api.Request;
+import caperrudder.api.Snapshot;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -38,7 +38,7 @@
  * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
  * table of open requests. It carries out what the module decides and tells it what came of it.
  */
-public final class Node implements Actions, Succession.Party {
+public final class Node implements PolicyActions, Succession.Party {
     private static final long EXIT_MS = 3400; // after SIGTERM: the last bytes have had their time
     private static final long FIRST_LIST_MS = 500; // an agent nearby that serves has answered by then
     private static final long POLL_MS = 20; // how often a drain looks whether all is answered
@@ -48,7 +48,7 @@
 
     /** Something that the module is to be told. */
     private interface Event {
-        void tell(double now, Events module);
+        void tell(double now, PolicyEvents module);
     }
 
     /** The way to the other gateways. */
@@ -65,7 +65,7 @@
     final Budget budget;
     private final Descriptors alone;
     private final Descriptors shared;
-    private final Events module;
+    private final PolicyEvents module;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final Map<String, OpenRequest> open = new HashMap<>();
     private final ClientServer clients;
@@ -90,11 +90,11 @@
     }
 
     /** With a module of the caller's making. */
-    Node(NodeConfig config, Function<Actions, Events> maker) {
+    Node(NodeConfig config, Function<PolicyActions, PolicyEvents> maker) {
         this(config, maker, Transport.TCP, new NioEventLoopGroup(1));
     }
 
-    Node(NodeConfig config, Function<Actions, Events> maker, Transport transport, NioEventLoopGroup group) {
+    Node(NodeConfig config, Function<PolicyActions, PolicyEvents> maker, Transport transport, NioEventLoopGroup group) {
         this.config = config.withoutKnown();
         this.known = config.known();
         this.transport = transport;
@@ -106,7 +106,7 @@
         this.shared = Descriptors.shared(config.sockets());
         this.module = maker.apply(this);
         this.tally = new Tally(config.settings().classes());
-        this.figures = new Figures(tally.classes(), 0, 0, new Cluster(0, 0));
+        this.figures = new Figures(tally.classes(), 0, 0, new ClusterHealth(0, 0));
         this.clients = new ClientServer(this);
         this.hosts = new HostClient(this);
         this.discovery = new Discovery(this, config.known());
@@ -147,7 +147,7 @@
     }
 
     /** With what another process of this gateway left, or null. */
-    private boolean start(Books left) throws IOException {
+    private boolean start(Snapshot left) throws IOException {
         try {
             loop.submit(() -> {
                         if (!peers.started()) {
@@ -200,7 +200,7 @@
         loop.schedule(this::renewFigures, FIGURES_MS, TimeUnit.MILLISECONDS);
         long current =
                 open.values().stream().filter(r -> !r.closed() && r.isWhole()).count();
-        figures = new Figures(tally.classes(), tally.sends(), current, module.cluster(clock.now()));
+        figures = new Figures(tally.classes(), tally.sends(), current, module.clusterHealth(clock.now()));
     }
 
     /** Whether the fleet serves clients, which would come here, too, rather than wait for this gateway's full speed. */
@@ -219,17 +219,17 @@
         return closing || ending ? null : clients.start().addListener(f -> listening = f.isSuccess() && !ending);
     }
 
-    private void begin(Books left) {
+    private void begin(Snapshot left) {
         serving = true;
         lag.start();
         tell((now, m) -> m.start(now, config.settings()));
         if (known != null) {
-            hostsTold(ListKind.CACHED, known.entries());
+            hostsTold(HostListKind.CACHED, known.entries());
             known = null;
         }
         if (left != null) {
-            log("takes over the books of " + left.customers().size() + " customers");
-            tell((now, m) -> m.inherited(now, left));
+            log("takes over the books of " + left.quotas().size() + " customers");
+            tell((now, m) -> m.restoreSnapshot(now, left));
         }
         renewFigures();
     }
@@ -276,13 +276,13 @@
     // ---- the turn from one process to the next
 
     @Override
-    public Books books() throws InterruptedException, ExecutionException {
-        return loop.submit(() -> module.books(clock.now())).get();
+    public Snapshot books() throws InterruptedException, ExecutionException {
+        return loop.submit(() -> module.takeSnapshot(clock.now())).get();
     }
 
     @Override
-    public void inherit(Books books) {
-        loop.execute(() -> tell((now, m) -> m.inherited(now, books)));
+    public void inherit(Snapshot books) {
+        loop.execute(() -> tell((now, m) -> m.restoreSnapshot(now, books)));
     }
 
     @Override
@@ -346,7 +346,7 @@
         if (entry.isWhole()) {
             guard(entry);
         }
-        tell((now, m) -> m.request(now, r));
+        tell((now, m) -> m.requestReceived(now, r));
     }
 
     private void guard(OpenRequest r) {
@@ -357,11 +357,11 @@
     void whole(OpenRequest r) {
         r.beginsAt(clock.now() - lag.ms());
         guard(r);
-        tell((now, m) -> m.requestWhole(now, r.request.id(), r.deadlineMs()));
+        tell((now, m) -> m.requestCompleted(now, r.request.id(), r.deadlineMs()));
     }
 
     void bodyLeft(Attempt a) {
-        tell((now, m) -> m.requestSpent(now, a.owner.request.id()));
+        tell((now, m) -> m.requestNotReplayable(now, a.owner.request.id()));
     }
 
     private static long micros(double ms) {
@@ -399,7 +399,7 @@
             return;
         }
         r.close(tally, Tally.End.ERRORED);
-        tell((now, m) -> m.clientLeft(now, r.request.id()));
+        tell((now, m) -> m.clientDisconnected(now, r.request.id()));
         if (r.passing != null) {
             r.passing.abandon();
             attemptEnded(r.passing, Outcome.CANCELLED, null);
@@ -420,7 +420,7 @@
         }
         r.passing = a;
         r.client().begin(head, a);
-        tell((now, m) -> m.streamStarted(now, r.request.id(), a.number));
+        tell((now, m) -> m.responseStarted(now, r.request.id(), a.number));
         return true;
     }
 
@@ -477,27 +477,27 @@
         return hosts.known();
     }
 
-    void hostsTold(ListKind kind, List<HostList.Entry> entries) {
+    void hostsTold(HostListKind kind, List<HostList.Entry> entries) {
         hosts.listed(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
-        tell((now, m) -> m.hosts(now, kind, list));
+        tell((now, m) -> m.hostsUpdated(now, kind, list));
     }
 
     void probed(String host, Outcome outcome, double took, double[] report) {
-        tell((now, m) -> m.probed(now, host, outcome, took, report));
+        tell((now, m) -> m.healthCheckEnded(now, host, outcome, took, report));
     }
 
     void peerSaid(int peer, byte[] data) {
         if (serving) {
-            tell((now, m) -> m.peerSaid(now, peer, data));
+            tell((now, m) -> m.peerMessageReceived(now, peer, data));
         }
     }
 
     // ---- what the module does
 
     @Override
-    public void send(String id, String host, double timeoutMs) {
+    public void sendAttempt(String id, String host, double timeoutMs) {
         OpenRequest r = open.get(id);
         if (r == null) {
             return;
@@ -513,7 +513,7 @@
                 || r.closed()
                 || r.isWhole() && now >= r.deadlineMs()
                 || a.number >= config.settings().limits().maxAttempts()) {
-            attemptEnded(a, Outcome.MOOT, null);
+            attemptEnded(a, Outcome.NOT_SENT, null);
             return;
         }
         if (timeoutMs > 0) {
@@ -529,7 +529,7 @@
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         OpenRequest r = open.get(id);
         if (r == null || attempt < 0 || attempt >= r.attempts.size() || r.attempts.get(attempt).ended) {
             return;
@@ -540,7 +540,7 @@
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs) {
+    public void reject(String id, double retryAfterMs) {
         answer(open.get(id), Tally.End.DEFERRED, HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
 
@@ -560,29 +560,29 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
-        loop.schedule(() -> tell((now, m) -> m.timer(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
+    public void startTimer(double delayMs, String token) {
+        loop.schedule(() -> tell((now, m) -> m.timerFired(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void probe(String host) {
+    public void startHealthCheck(String host) {
         hosts.probe(host);
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         mail.send(peer, data);
     }
 
     /** There is no counter on these sockets, so a call can't get through. */
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
-        tell((now, m) -> m.counted(now, counter, Outcome.CONNECT_FAILED, 0));
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
+        tell((now, m) -> m.counterUpdated(now, counter, Outcome.CONNECT_FAILED, 0));
     }
 
     /** Discovery is always watched. */
     @Override
-    public void watchHosts() {}
+    public void subscribeToHosts() {}
 
     // ---- the end
 
--- a/src/main/java/caperrudder/net/NodeConfig.java
+++ b/src/main/java/caperrudder/net/NodeConfig.java
@@ -173,7 +173,7 @@
         for (JsonNode peer : root.path("peers")) {
             peers.add(address(peer.asText()));
         }
-        boolean mail = settings.limits().peers() && root.hasNonNull("peer_listen");
+        boolean mail = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
         return new NodeConfig(
                 address(text(root, "listen")),
                 root.hasNonNull("admin_addr") ? address(text(root, "admin_addr")) : null,
--- a/src/main/java/caperrudder/net/RequestTerms.java
+++ b/src/main/java/caperrudder/net/RequestTerms.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.api.Effect;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Plan;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
@@ -71,7 +71,7 @@
         double units = field(quota, "units", true);
         double spread = field(quota, "spread", false);
         double first = field(quota, "first", false);
-        int gateways = settings.gateways();
+        int gateways = settings.gatewayCount();
         // A set that this gateway does not belong to would have it ask keepers that must not answer.
         boolean right = units > 0
                 && units <= settings.sharing().maxUnits()
@@ -79,7 +79,7 @@
                 && spread <= gateways
                 && first >= 0
                 && first < gateways
-                && Math.floorMod(settings.me() - (int) first, gateways) < spread;
+                && Math.floorMod(settings.gatewayIndex() - (int) first, gateways) < spread;
         double waits = Math.min(left, cls.deadlineMs()); // no client of this class waits longer
         return !right
                 ? null
@@ -99,13 +99,14 @@
 
     /** The method and the key of the class; what is safe to repeat has no body, and none may be sent on with it. */
     private static boolean fits(RequestClass cls, HttpRequest message, RequestBody body) {
-        if (cls.effect() == Effect.REPEATABLE) {
+        if (cls.idempotency() == Idempotency.IDEMPOTENT) {
             return message.method().equals(HttpMethod.GET)
                     && body.isEmpty()
                     && !message.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
         }
         return message.method().equals(HttpMethod.POST)
-                && (cls.effect() != Effect.KEYED || isName(message.headers().get(KEY)));
+                && (cls.idempotency() != Idempotency.IDEMPOTENCY_KEY
+                        || isName(message.headers().get(KEY)));
     }
 
     private static boolean isName(String text) {
--- a/src/main/java/caperrudder/net/Succession.java
+++ b/src/main/java/caperrudder/net/Succession.java
@@ -1,6 +1,6 @@
 package caperrudder.net;
 
-import caperrudder.api.Books;
+import caperrudder.api.Snapshot;
 import caperrudder.net.HandoverFiles.Claim;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -20,9 +20,9 @@
 
     /** What of a node takes part. */
     interface Party {
-        Books books() throws InterruptedException, ExecutionException;
+        Snapshot books() throws InterruptedException, ExecutionException;
 
-        void inherit(Books books);
+        void inherit(Snapshot books);
 
         /** Whether another process of this gateway runs beside this one. */
         void beside(boolean other);
@@ -70,12 +70,12 @@
     }
 
     /** The books that were left; null where there are none of now. */
-    Books left() {
-        Books b = files == null ? null : files.books();
-        if (b == null || Math.abs(clock.now() - b.at()) > FRESH_MS) {
+    Snapshot left() {
+        Snapshot b = files == null ? null : files.books();
+        if (b == null || Math.abs(clock.now() - b.takenAtMs()) > FRESH_MS) {
             return null;
         }
-        takenAt = b.at();
+        takenAt = b.takenAtMs();
         return b;
     }
 
@@ -106,9 +106,9 @@
         try {
             if (predecessor != 0) {
                 boolean ended = !lives(predecessor);
-                Books b = files.books(); // after that look, so that its last word is heard
-                if (b != null && b.at() > takenAt) {
-                    takenAt = b.at();
+                Snapshot b = files.books(); // after that look, so that its last word is heard
+                if (b != null && b.takenAtMs() > takenAt) {
+                    takenAt = b.takenAtMs();
                     party.inherit(b);
                 }
                 predecessor = ended ? 0 : predecessor;
--- a/src/main/java/caperrudder/net/WarmUp.java
+++ b/src/main/java/caperrudder/net/WarmUp.java
@@ -1,10 +1,10 @@
 package caperrudder.net;
 
 import caperrudder.Brain;
-import caperrudder.api.Effect;
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Plan;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
@@ -149,10 +149,10 @@
             nodes.add(new Node(of(me), Brain::new, TRANSPORT, group));
         }
         for (Node node : nodes) {
-            int me = node.config.settings().me();
+            int me = node.config.settings().gatewayIndex();
             node.linkBy((peer, data) -> group.execute(() -> nodes.get(1 - me).peerSaid(me, data)));
             group.submit(() -> node.listen()).sync().getNow().sync();
-            group.execute(() -> node.hostsTold(ListKind.FULL, list));
+            group.execute(() -> node.hostsTold(HostListKind.FULL, list));
         }
         outside.execute(() -> {
             for (int i = 0; i < CLIENTS; i++) {
@@ -172,9 +172,9 @@
                 sharing.postPaid(),
                 sharing.maxUnits(),
                 MAIL_PER_SECOND,
-                sharing.peerPrice(),
-                sharing.probePrice(),
-                sharing.zonePrice());
+                sharing.peerMessagePrice(),
+                sharing.healthCheckPrice(),
+                sharing.crossZonePrice());
         Settings settings = new Settings(
                 s.seed(),
                 me,
@@ -183,7 +183,7 @@
                 false,
                 s.classes(),
                 s.plans(),
-                s.reportNames(),
+                s.loadReportFields(),
                 s.limits(),
                 s.rules(),
                 quick);
@@ -253,7 +253,7 @@
         int n = asked++;
         List<RequestClass> classes = config.settings().classes();
         RequestClass cls = classes.get(n % classes.size());
-        boolean safe = cls.effect() == Effect.REPEATABLE;
+        boolean safe = cls.idempotency() == Idempotency.IDEMPOTENT;
         FullHttpRequest r = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 safe ? HttpMethod.GET : HttpMethod.POST,
--- a/src/main/java/caperrudder/scale/HollowFleet.java
+++ b/src/main/java/caperrudder/scale/HollowFleet.java
@@ -154,7 +154,7 @@
 
     private void reckon(HollowGateway g) {
         clock.after(FIGURES_MS, () -> reckon(g));
-        g.tell(costs.reckonings, m -> m.cluster(clock.nowMs()));
+        g.tell(costs.reckonings, m -> m.clusterHealth(clock.nowMs()));
     }
 
     /** Each gateway serves one request of each of its tenants. */
@@ -342,7 +342,7 @@
                 tenants.spread());
         Open o = new Open(g, tenant, now + DEADLINE_MS);
         open.put(id, o);
-        g.tell(costs.arrivals, m -> m.request(now, r));
+        g.tell(costs.arrivals, m -> m.requestReceived(now, r));
         spend(o);
         forgetIfOver(id, o);
     }
@@ -361,7 +361,7 @@
     private void carryOut(
             HollowGateway g, Outbox.Kind kind, String name, String host, int number, double delayMs, byte[] message) {
         switch (kind) {
-            case TIMER -> clock.after(delayMs, () -> g.tell(costs.beats, m -> m.timer(clock.nowMs(), name)));
+            case TIMER -> clock.after(delayMs, () -> g.tell(costs.beats, m -> m.timerFired(clock.nowMs(), name)));
             case SEND -> send(g, name, host);
             case CANCEL -> clock.after(0, () -> ended(g, name, number, null, Outcome.CANCELLED, 0));
             case REFUSE -> close(name, false);
@@ -387,7 +387,9 @@
         costs.heard.merge(to, 1, Integer::sum);
         HollowGateway g = byNumber.get(to);
         if (g != null) {
-            clock.after(WAY_MS, () -> g.tell(costs.messagesIn, m -> m.peerSaid(clock.nowMs(), from.number, message)));
+            clock.after(
+                    WAY_MS,
+                    () -> g.tell(costs.messagesIn, m -> m.peerMessageReceived(clock.nowMs(), from.number, message)));
         }
     }
 
--- a/src/main/java/caperrudder/scale/HollowGateway.java
+++ b/src/main/java/caperrudder/scale/HollowGateway.java
@@ -1,8 +1,8 @@
 package caperrudder.scale;
 
 import caperrudder.Brain;
-import caperrudder.api.Events;
-import caperrudder.api.ListKind;
+import caperrudder.api.HostListKind;
+import caperrudder.api.PolicyEvents;
 import caperrudder.api.Settings;
 import caperrudder.net.HostLists;
 import java.io.ByteArrayInputStream;
@@ -13,7 +13,7 @@
 final class HollowGateway {
     /** Something that the module is told. */
     interface Event {
-        void tell(Events module);
+        void tell(PolicyEvents module);
     }
 
     final int number;
@@ -26,7 +26,7 @@
     private long wallNanos;
 
     HollowGateway(Settings settings, Outbox.Carrier carrier) {
-        this.number = settings.me();
+        this.number = settings.gatewayIndex();
         this.carrier = carrier;
     }
 
@@ -44,7 +44,7 @@
         long readWallNanos = wallNanos;
         HostLists list = lastRead;
         lastRead = null; // what is held later is the module's alone
-        tell(telling, m -> m.hosts(nowMs, list.full() ? ListKind.FULL : ListKind.CHANGES, list.hosts()));
+        tell(telling, m -> m.hostsUpdated(nowMs, list.full() ? HostListKind.FULL : HostListKind.CHANGES, list.hosts()));
         both.add(readNanos + nanos, readBytes + bytes, readWallNanos + wallNanos);
     }
 
--- a/src/main/java/caperrudder/scale/Outbox.java
+++ b/src/main/java/caperrudder/scale/Outbox.java
@@ -1,13 +1,13 @@
 package caperrudder.scale;
 
-import caperrudder.api.Actions;
+import caperrudder.api.PolicyActions;
 import java.util.Arrays;
 
 /**
  * What a module did during one event, to be carried out after it, as the real gateway does. Kept in arrays that are
  * used again: noting an action allocates nothing, so that what is measured is the module's own.
  */
-final class Outbox implements Actions {
+final class Outbox implements PolicyActions {
     enum Kind {
         SEND,
         CANCEL,
@@ -61,17 +61,17 @@
     }
 
     @Override
-    public void send(String id, String host, double timeoutMs) {
+    public void sendAttempt(String id, String host, double timeoutMs) {
         note(Kind.SEND, id, host, 0, timeoutMs, null);
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         note(Kind.CANCEL, id, null, attempt, 0, null);
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs) {
+    public void reject(String id, double retryAfterMs) {
         note(Kind.REFUSE, id, null, 0, retryAfterMs, null);
     }
 
@@ -81,26 +81,26 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         note(Kind.TIMER, token, null, 0, delayMs, null);
     }
 
     @Override
-    public void probe(String host) {
+    public void startHealthCheck(String host) {
         note(Kind.PROBE, null, host, 0, 0, null);
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         note(Kind.TELL, null, null, peer, 0, data);
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         note(Kind.COUNT, counter, null, 0, 0, null);
     }
 
     /** Discovery is always watched. */
     @Override
-    public void watchHosts() {}
+    public void subscribeToHosts() {}
 }
--- a/src/main/java/caperrudder/scale/Tenants.java
+++ b/src/main/java/caperrudder/scale/Tenants.java
@@ -71,7 +71,7 @@
     /** What the meter tells now. */
     int usedPct(int tenant, double nowMs) {
         turn(tenant, nowMs);
-        return 1 + (int) (100 * usedBefore[tenant] / plan(tenant).rate() / PERIOD_MS * 1000);
+        return 1 + (int) (100 * usedBefore[tenant] / plan(tenant).unitsPerSecond() / PERIOD_MS * 1000);
     }
 
     private void turn(int tenant, double nowMs) {
--- a/src/main/java/caperrudder/wire/ReplyWriter.java
+++ b/src/main/java/caperrudder/wire/ReplyWriter.java
@@ -1,10 +1,10 @@
 package caperrudder.wire;
 
-import caperrudder.api.Actions;
+import caperrudder.api.PolicyActions;
 import java.util.HexFormat;
 
 /** Writes one instance's actions as lines of the reply; the AT line comes before its first. */
-final class ReplyWriter implements Actions {
+final class ReplyWriter implements PolicyActions {
     private final StringBuilder out;
     private final long instance;
     private final long[] lastAt;
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void send(String id, String host, double timeoutMs) {
+    public void sendAttempt(String id, String host, double timeoutMs) {
         line("PLACE op_id=").append(id).append(" host=").append(host);
         if (timeoutMs > 0) {
             out.append(" limit_ms=").append(number(timeoutMs));
@@ -41,12 +41,12 @@
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         line("ABANDON op_id=").append(id).append(" hop=").append(attempt).append('\n');
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs) {
+    public void reject(String id, double retryAfterMs) {
         line("OVERLOAD_REPLY op_id=").append(id);
         if (retryAfterMs > 0) {
             out.append(" wait_ms=").append(number(retryAfterMs));
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         line("TIMER in_ms=")
                 .append(number(delayMs))
                 .append(" cookie=")
@@ -69,12 +69,12 @@
     }
 
     @Override
-    public void probe(String host) {
+    public void startHealthCheck(String host) {
         line("HEALTH_CHECK host=").append(host).append('\n');
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         line("NOTIFY dest=")
                 .append(peer)
                 .append(" contents=")
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         line("ADD_AND_GET counter=")
                 .append(counter)
                 .append(" by=")
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void watchHosts() {
+    public void subscribeToHosts() {
         line("KEEP_INFORMED want=1\n");
     }
 }
--- a/src/main/java/caperrudder/wire/SettingsReader.java
+++ b/src/main/java/caperrudder/wire/SettingsReader.java
@@ -1,11 +1,11 @@
 package caperrudder.wire;
 
-import caperrudder.api.Effect;
+import caperrudder.api.DeduplicationScope;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Limits;
 import caperrudder.api.Plan;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Rules;
-import caperrudder.api.Scope;
 import caperrudder.api.Settings;
 import caperrudder.api.Sharing;
 import java.util.ArrayList;
@@ -95,20 +95,20 @@
         return List.copyOf(plans);
     }
 
-    private static Effect effect(String word) {
+    private static Idempotency effect(String word) {
         return switch (word) {
-            case "repeatable" -> Effect.REPEATABLE;
-            case "by_key" -> Effect.KEYED;
-            case "once" -> Effect.ONCE;
+            case "repeatable" -> Idempotency.IDEMPOTENT;
+            case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
+            case "once" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw new WireFault("unknown effect '" + word + "'");
         };
     }
 
-    private static Scope scope(String word) {
+    private static DeduplicationScope scope(String word) {
         return switch (word) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            case "cell" -> Scope.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw new WireFault("unknown key scope '" + word + "'");
         };
     }
--- a/src/main/java/caperrudder/wire/WireHost.java
+++ b/src/main/java/caperrudder/wire/WireHost.java
@@ -3,8 +3,8 @@
 import caperrudder.Brain;
 import caperrudder.api.AttemptResult;
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import java.io.BufferedReader;
@@ -113,7 +113,7 @@
         }
         switch (name) {
             case "MEMBERSHIP" -> membership(now, brain, f);
-            case "DEMAND" -> brain.request(
+            case "DEMAND" -> brain.requestReceived(
                     now,
                     new Request(
                             f.text("op_id"),
@@ -126,7 +126,7 @@
                             f.number("size_units"),
                             f.count("from_no", 0),
                             f.count("doors", 1)));
-            case "FLOWING" -> brain.streamStarted(now, f.text("op_id"), f.count("hop"));
+            case "FLOWING" -> brain.responseStarted(now, f.text("op_id"), f.count("hop"));
             case "COMPLETED" -> brain.attemptEnded(
                     now,
                     new AttemptResult(
@@ -139,35 +139,36 @@
                             f.count("use_pct", 0),
                             f.number("cost", 0),
                             f.row("health_info")));
-            case "VANISHED" -> brain.clientLeft(now, f.text("op_id"));
-            case "DUE" -> brain.timer(now, f.text("cookie"));
-            case "PROBE_RESULT" -> brain.probed(
+            case "VANISHED" -> brain.clientDisconnected(now, f.text("op_id"));
+            case "DUE" -> brain.timerFired(now, f.text("cookie"));
+            case "PROBE_RESULT" -> brain.healthCheckEnded(
                     now, f.text("host"), outcome(f.text("reason")), f.number("cost_time_ms", 0), f.row("health_info"));
-            case "FROM_PEER" -> brain.peerSaid(now, f.count("neighbour"), f.bytes("contents"));
-            case "COUNTED" -> brain.counted(now, f.text("counter"), outcome(f.text("reason")), f.number("reading", 0));
+            case "FROM_PEER" -> brain.peerMessageReceived(now, f.count("neighbour"), f.bytes("contents"));
+            case "COUNTED" -> brain.counterUpdated(
+                    now, f.text("counter"), outcome(f.text("reason")), f.number("reading", 0));
             default -> throw new WireFault("unknown message '" + name + "'");
         }
     }
 
     private void membership(double now, Brain brain, Fields f) {
         String how = f.text("how");
-        ListKind kind =
+        HostListKind kind =
                 switch (how) {
-                    case "D" -> ListKind.CHANGES;
-                    case "F" -> ListKind.FULL;
-                    case "C" -> ListKind.CACHED;
-                    case "X" -> ListKind.FAILED;
+                    case "D" -> HostListKind.CHANGES;
+                    case "F" -> HostListKind.FULL;
+                    case "C" -> HostListKind.CACHED;
+                    case "X" -> HostListKind.FAILED;
                     default -> throw new WireFault("unknown list kind '" + how + "'");
                 };
         List<Host> hosts = List.of();
-        if (kind != ListKind.FAILED) {
+        if (kind != HostListKind.FAILED) {
             int page = f.count("page");
             hosts = catalogs.get(page);
             if (hosts == null) {
                 throw new WireFault("no CATALOG with page " + page);
             }
         }
-        brain.hosts(now, kind, hosts);
+        brain.hostsUpdated(now, kind, hosts);
     }
 
     private void catalog(Fields f) throws IOException {
@@ -204,12 +205,12 @@
         return switch (word) {
             case "Ok" -> Outcome.OK;
             case "Failed" -> Outcome.ERROR;
-            case "QueueFull" -> Outcome.FULL;
+            case "QueueFull" -> Outcome.REJECTED;
             case "TimedOut" -> Outcome.TIMEOUT;
             case "ConnectError" -> Outcome.CONNECT_FAILED;
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELLED;
-            case "Ignored" -> Outcome.MOOT;
+            case "Ignored" -> Outcome.NOT_SENT;
             default -> throw new WireFault("unknown reason '" + word + "'");
         };
     }
--- a/src/test/java/caperrudder/ActionRecorder.java
+++ b/src/test/java/caperrudder/ActionRecorder.java
@@ -1,6 +1,6 @@
 package caperrudder;
 
-import caperrudder.api.Actions;
+import caperrudder.api.PolicyActions;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
@@ -20,13 +20,13 @@
  * policy. A line is the time and the action's name and arguments; doubles are recorded by their bits, so that two
  * records are equal only where every figure is.
  */
-final class ActionRecorder implements Actions {
+final class ActionRecorder implements PolicyActions {
     private final DoubleSupplier clock;
-    private final Actions world;
+    private final PolicyActions world;
     private final List<String> lines = new ArrayList<>();
     private final Map<String, Integer> counts = new TreeMap<>();
 
-    ActionRecorder(DoubleSupplier clock, Actions world) {
+    ActionRecorder(DoubleSupplier clock, PolicyActions world) {
         this.clock = clock;
         this.world = world;
     }
@@ -74,21 +74,21 @@
     }
 
     @Override
-    public void send(String id, String host, double timeoutMs) {
+    public void sendAttempt(String id, String host, double timeoutMs) {
         write("send", id + " " + host + " " + bits(timeoutMs));
-        world.send(id, host, timeoutMs);
+        world.sendAttempt(id, host, timeoutMs);
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         write("cancel", id + " " + attempt);
-        world.cancel(id, attempt);
+        world.cancelAttempt(id, attempt);
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs) {
+    public void reject(String id, double retryAfterMs) {
         write("refuse", id + " " + bits(retryAfterMs));
-        world.refuse(id, retryAfterMs);
+        world.reject(id, retryAfterMs);
     }
 
     @Override
@@ -98,32 +98,32 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         write("timer", bits(delayMs) + " " + token);
-        world.timer(delayMs, token);
+        world.startTimer(delayMs, token);
     }
 
     @Override
-    public void probe(String host) {
+    public void startHealthCheck(String host) {
         write("probe", host);
-        world.probe(host);
+        world.startHealthCheck(host);
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         write("tell", peer + " " + HexFormat.of().formatHex(data));
-        world.tell(peer, data);
+        world.sendToPeer(peer, data);
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         write("count", counter + " " + bits(amount) + " " + bits(lifetimeMs));
-        world.count(counter, amount, lifetimeMs);
+        world.addToCounter(counter, amount, lifetimeMs);
     }
 
     @Override
-    public void watchHosts() {
+    public void subscribeToHosts() {
         write("watchHosts", "");
-        world.watchHosts();
+        world.subscribeToHosts();
     }
 }
--- a/src/test/java/caperrudder/BooksTest.java
+++ b/src/test/java/caperrudder/BooksTest.java
@@ -61,11 +61,11 @@
     void aRequestThatNeverCameWholeUsesNoUnits() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         for (int i = 0; i < 20; i++) {
-            g.brain.request(
+            g.brain.requestReceived(
                     g.now, new Request("p" + i, g.now + 3000, g.now, false, "order", 1, "small", 4, 0, 1, true));
             assertEquals(1, g.sends("p" + i));
-            g.brain.requestSpent(g.now, "p" + i);
-            g.brain.clientLeft(g.now, "p" + i);
+            g.brain.requestNotReplayable(g.now, "p" + i);
+            g.brain.clientDisconnected(g.now, "p" + i);
             g.end("p" + i, 0, Outcome.CANCELLED, 1);
         }
         assertEquals(0, g.refused.size());
@@ -90,10 +90,10 @@
     void aLifeThatHasNotBegunSilencesNoPeer() {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(0, 2)).withHosts("a1");
         Tell.Entry entry = new Tell.Entry(false, true, false, false, false, 5, 0, 0, 2, 1, 0, 1, 1, 0, 0);
-        g.brain.peerSaid(g.now, 1, new Tell(1_900_000_000, 0, 1, 0, List.of(entry)).bytes());
+        g.brain.peerMessageReceived(g.now, 1, new Tell(1_900_000_000, 0, 1, 0, List.of(entry)).bytes());
         g.pass(1000);
         assertEquals(0, g.told.size());
-        g.brain.peerSaid(g.now, 1, new Tell(1_000_000, 0, 1, 0, List.of(entry)).bytes());
+        g.brain.peerMessageReceived(g.now, 1, new Tell(1_000_000, 0, 1, 0, List.of(entry)).bytes());
         g.pass(1000);
         assertEquals(1, g.told.size());
     }
@@ -117,6 +117,6 @@
 
     private static void tellUse(FakeGateway g, long customer, int serial, double used) {
         Tell.Entry entry = new Tell.Entry(false, false, false, false, false, customer, 0, 0, 2, used, 0, 1, 0, 0, 0);
-        g.brain.peerSaid(g.now, 1, new Tell(1_000_000, 0, serial, 0, List.of(entry)).bytes());
+        g.brain.peerMessageReceived(g.now, 1, new Tell(1_000_000, 0, serial, 0, List.of(entry)).bytes());
     }
 }
--- a/src/test/java/caperrudder/ColdFleetTest.java
+++ b/src/test/java/caperrudder/ColdFleetTest.java
@@ -3,16 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.AttemptResult;
-import caperrudder.api.Effect;
+import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Limits;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Rules;
-import caperrudder.api.Scope;
 import caperrudder.api.Settings;
 import caperrudder.api.Sharing;
 import java.util.ArrayList;
@@ -48,13 +48,13 @@
         }
 
         double ramp(double sinceMs) {
-            double done = Math.min(1, sinceMs / rules.warmWithinMs());
-            return rules.coldFrom() + (1 - rules.coldFrom()) * done;
+            double done = Math.min(1, sinceMs / rules.slowStartMs());
+            return rules.coldStartCapacity() + (1 - rules.coldStartCapacity()) * done;
         }
 
         /** Requests of mean work that the rule allows in a window that begins so long after the start. */
         double budget(double sinceMs) {
-            return rules.fallMultiple() * capacityPerMs() * ramp(sinceMs) * rules.fallMs();
+            return rules.overloadMultiple() * capacityPerMs() * ramp(sinceMs) * rules.overloadWindowMs();
         }
     }
 
@@ -122,8 +122,8 @@
             double worst = Double.NEGATIVE_INFINITY;
             int first = 0;
             for (int last = 0; last < got.size(); last++) {
-                while (got.get(first) <= got.get(last) - site.rules().fallMs()) first++;
-                double from = Math.max(0, got.get(last) - site.rules().fallMs() - coldAt);
+                while (got.get(first) <= got.get(last) - site.rules().overloadWindowMs()) first++;
+                double from = Math.max(0, got.get(last) - site.rules().overloadWindowMs() - coldAt);
                 double n = site.budget(from);
                 worst = Math.max(worst, last - first + 1 - (n + 2 * Math.sqrt(n) + 2));
             }
@@ -158,11 +158,19 @@
                 byId.put(h.id, h);
             }
             RequestClass read = new RequestClass(
-                    "read", Effect.REPEATABLE, Scope.ALL, 0, site.deadlineMs() * 0.3, site.deadlineMs(), 1, 0.2, false);
+                    "read",
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.ALL,
+                    0,
+                    site.deadlineMs() * 0.3,
+                    site.deadlineMs(),
+                    1,
+                    0.2,
+                    false);
             RequestClass order = new RequestClass(
                     "order",
-                    Effect.KEYED,
-                    Scope.ALL,
+                    Idempotency.IDEMPOTENCY_KEY,
+                    DeduplicationScope.ALL,
                     site.deadlineMs(),
                     site.deadlineMs() * 0.4,
                     site.deadlineMs(),
@@ -170,7 +178,15 @@
                     0,
                     false);
             RequestClass pay = new RequestClass(
-                    "pay", Effect.ONCE, Scope.ALL, 0, site.deadlineMs() * 0.4, site.deadlineMs(), 3, 0.2, false);
+                    "pay",
+                    Idempotency.NOT_IDEMPOTENT,
+                    DeduplicationScope.ALL,
+                    0,
+                    site.deadlineMs() * 0.4,
+                    site.deadlineMs(),
+                    3,
+                    0.2,
+                    false);
             double[] weight = IntStream.range(0, size)
                     .mapToDouble(i -> random.nextInt(BUSY_EVERY) == 0 ? BUSY : 1)
                     .toArray();
@@ -221,7 +237,7 @@
                 deadlines.put(id, now + site.deadlineMs());
                 act(
                         g,
-                        () -> g.brain.request(
+                        () -> g.brain.requestReceived(
                                 now,
                                 new Request(
                                         id,
@@ -265,7 +281,7 @@
             double answered = h.take(now, site.workMs() * exponential()) + NET_MS;
             double sentAt = now;
             if (answered < now) {
-                end(g, s.id(), attempt, h.id, Outcome.FULL, now, now + NET_MS);
+                end(g, s.id(), attempt, h.id, Outcome.REJECTED, now, now + NET_MS);
             } else if (answered > deadlines.get(s.id())) {
                 end(g, s.id(), attempt, h.id, Outcome.TIMEOUT, now, deadlines.get(s.id()));
             } else {
@@ -303,8 +319,8 @@
             });
         }
 
-        void tell(List<Host> changes, ListKind kind) {
-            gateways.forEach(g -> act(g, () -> g.brain.hosts(now, kind, changes)));
+        void tell(List<Host> changes, HostListKind kind) {
+            gateways.forEach(g -> act(g, () -> g.brain.hostsUpdated(now, kind, changes)));
         }
 
         void run(double ms) {
@@ -328,18 +344,18 @@
                             .filter(h -> h.up)
                             .map(h -> h.listed(HostState.RUNNING))
                             .toList(),
-                    ListKind.FULL);
+                    HostListKind.FULL);
             run(WARM_UP_MS - OUT_MS);
             if (scene.known()) {
                 cold.forEach(h -> h.up = false);
-                tell(cold.stream().map(h -> h.listed(HostState.GONE)).toList(), ListKind.CHANGES);
+                tell(cold.stream().map(h -> h.listed(HostState.GONE)).toList(), HostListKind.CHANGES);
             }
             run(OUT_MS);
             cold.forEach(h -> h.startCold(now));
             gone.forEach(h -> h.up = false);
-            tell(cold.stream().map(h -> h.listed(HostState.RUNNING)).toList(), ListKind.CHANGES);
+            tell(cold.stream().map(h -> h.listed(HostState.RUNNING)).toList(), HostListKind.CHANGES);
             run(UNTOLD_MS);
-            tell(gone.stream().map(h -> h.listed(HostState.GONE)).toList(), ListKind.CHANGES);
+            tell(gone.stream().map(h -> h.listed(HostState.GONE)).toList(), HostListKind.CHANGES);
             run(COLD_MS - UNTOLD_MS);
             return cold;
         }
@@ -372,6 +388,6 @@
     /** What the rule allows a cold host in all the time for which it is watched. */
     private static double allowed(Site site) {
         double meanRamp = (site.ramp(0) + site.ramp(COLD_MS)) / 2;
-        return site.rules().fallMultiple() * site.capacityPerMs() * meanRamp * COLD_MS;
+        return site.rules().overloadMultiple() * site.capacityPerMs() * meanRamp * COLD_MS;
     }
 }
--- a/src/test/java/caperrudder/DecisionsTest.java
+++ b/src/test/java/caperrudder/DecisionsTest.java
@@ -4,8 +4,8 @@
 
 import caperrudder.State.ClassState;
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
@@ -37,7 +37,7 @@
     }
 
     private static void askLate(FakeGateway g, String id, double waited, int spread, long customer) {
-        g.brain.request(
+        g.brain.requestReceived(
                 g.now,
                 new Request(id, g.now + 3000 - waited, g.now - waited, false, "read", customer, "small", 1, 0, spread));
     }
@@ -67,7 +67,7 @@
         askLate(g, "late", 200, 2, theirs);
         assertEquals(1, g.sends("late"));
         g.now += 400; // a stall: the answer may stand unread
-        g.brain.timer(g.now, "beat");
+        g.brain.timerFired(g.now, "beat");
         assertEquals(0, g.sends("asks") + g.answers("asks"));
         g.pass(500); // on time again, and no answer
         assertEquals(1, g.sends("asks") + g.answers("asks"));
@@ -242,7 +242,7 @@
         int total = 0;
         for (int me = 0; me < 300; me++) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me));
-            g.brain.hosts(g.now, ListKind.FULL, hosts);
+            g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
             for (int i = 0; i < 3; i++) {
                 g.ask("r" + i, "read");
             }
--- a/src/test/java/caperrudder/FakeGateway.java
+++ b/src/test/java/caperrudder/FakeGateway.java
@@ -1,18 +1,18 @@
 package caperrudder;
 
-import caperrudder.api.Actions;
 import caperrudder.api.AttemptResult;
-import caperrudder.api.Effect;
+import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Limits;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import caperrudder.api.Plan;
+import caperrudder.api.PolicyActions;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Rules;
-import caperrudder.api.Scope;
 import caperrudder.api.Settings;
 import caperrudder.api.Sharing;
 import java.util.ArrayList;
@@ -24,11 +24,13 @@
 import java.util.PriorityQueue;
 
 /** A clock and a notebook: plays events into one Brain and keeps what it does. */
-final class FakeGateway implements Actions {
-    static final RequestClass READ = new RequestClass("read", Effect.REPEATABLE, Scope.ALL, 0, 1000, 3000, 1, 0, false);
-    static final RequestClass PAY = new RequestClass("pay", Effect.ONCE, Scope.ALL, 0, 1000, 3000, 3, 0, false);
-    static final RequestClass ORDER =
-            new RequestClass("order", Effect.KEYED, Scope.ZONE, 1000, 1000, 3000, 3, 0, false);
+final class FakeGateway implements PolicyActions {
+    static final RequestClass READ =
+            new RequestClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1000, 3000, 1, 0, false);
+    static final RequestClass PAY =
+            new RequestClass("pay", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, 1000, 3000, 3, 0, false);
+    static final RequestClass ORDER = new RequestClass(
+            "order", Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 1000, 1000, 3000, 3, 0, false);
     static final Plan SMALL = new Plan("small", 4, 12, 0, 1, 0, 1, 0, 0, 0);
     static final Plan CAPPED = new Plan("capped", 100, 100, 0, 1, 0, 1, 20, 40, 4);
     static final Plan OPEN = new Plan("open", 0, 0, 2, 1, 0, 1, 0, 0, 0);
@@ -109,12 +111,12 @@
         for (String id : ids) {
             hosts.add(host(id, id.substring(0, 1)));
         }
-        brain.hosts(now, ListKind.FULL, hosts);
+        brain.hostsUpdated(now, HostListKind.FULL, hosts);
         return this;
     }
 
     void ask(String id, String cls, String plan, long customer, double units, int spread) {
-        brain.request(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
+        brain.requestReceived(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
     }
 
     void ask(String id, String cls) {
@@ -149,7 +151,7 @@
         while (!timers.isEmpty() && timers.peek().at() <= end) {
             Timer t = timers.poll();
             now = Math.max(now, t.at());
-            brain.timer(now, t.token());
+            brain.timerFired(now, t.token());
         }
         now = end;
     }
@@ -159,20 +161,20 @@
     }
 
     @Override
-    public void send(String id, String host, double timeoutMs) {
+    public void sendAttempt(String id, String host, double timeoutMs) {
         sent.add(new Sent(now, id, host));
         lastHost.put(id, host);
         log.add(now + " send " + id + " " + host);
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         cancelled.add(id);
         log.add(now + " cancel " + id + " " + attempt);
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs) {
+    public void reject(String id, double retryAfterMs) {
         refused.add(id);
         retryAfter.add(retryAfterMs);
         log.add(now + " refuse " + id + " " + retryAfterMs);
@@ -185,29 +187,29 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         timers.add(new Timer(now + delayMs, order++, token));
     }
 
     @Override
-    public void probe(String host) {
+    public void startHealthCheck(String host) {
         probed.add(host);
         log.add(now + " probe " + host);
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         told.add(new Told(peer, data));
         log.add(now + " tell " + peer + " " + data.length);
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         log.add(now + " count " + counter);
     }
 
     @Override
-    public void watchHosts() {
+    public void subscribeToHosts() {
         log.add(now + " watch");
     }
 }
--- a/src/test/java/caperrudder/FleetTest.java
+++ b/src/test/java/caperrudder/FleetTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import caperrudder.api.Settings;
 import caperrudder.api.Sharing;
@@ -28,7 +28,7 @@
     private void fleet(double now, List<Host> hosts) {
         for (int i = 0; i < GATEWAYS; i++) {
             FakeGateway g = new FakeGateway(now, FakeGateway.settings(i, GATEWAYS, 100 + i));
-            g.brain.hosts(now, ListKind.FULL, hosts);
+            g.brain.hostsUpdated(now, HostListKind.FULL, hosts);
             fleet.add(g);
         }
     }
@@ -86,7 +86,7 @@
         assertTrue(share > 0.8 * byCapacity && share < 1.2 * byCapacity, "cold hosts took " + share);
     }
 
-    private static final double QUOTA = FakeGateway.SMALL.rate();
+    private static final double QUOTA = FakeGateway.SMALL.unitsPerSecond();
 
     /**
      * Units of customer 42 let in over so many seconds, where each of the gateways is asked for one every so often
@@ -96,7 +96,7 @@
         double now = 100_000;
         for (int i = 0; i < GATEWAYS; i++) {
             FakeGateway g = new FakeGateway(now, FakeGateway.metered(i, GATEWAYS, 100 + i));
-            g.brain.hosts(now, ListKind.FULL, hosts(IntStream.range(0, HOSTS), 0));
+            g.brain.hostsUpdated(now, HostListKind.FULL, hosts(IntStream.range(0, HOSTS), 0));
             fleet.add(g);
         }
         double[] used = new double[seconds + 2];
@@ -142,7 +142,7 @@
     @Test
     void aCustomerFarBeyondItsQuotaIsHeldByTheMeter() {
         double letIn = metered(20, 700); // five times the quota, the most that a customer asks in a spell
-        double quota = 20 * QUOTA + FakeGateway.SMALL.burst();
+        double quota = 20 * QUOTA + FakeGateway.SMALL.burstUnits();
         double asked = 20 * GATEWAYS / 0.7;
         assertTrue(letIn > 0.9 * quota && letIn < 0.55 * asked, letIn + " of " + asked + " in a quota of " + quota);
     }
@@ -172,9 +172,9 @@
     /** The share of cold hosts, at 0.6 and more of what they can do, where each answer tells what its host holds. */
     private double coldShare(double warmHolds, double coldHolds) {
         FakeGateway g = new FakeGateway(100_000, FakeGateway.metered(3, GATEWAYS, 9));
-        g.brain.hosts(
+        g.brain.hostsUpdated(
                 g.now,
-                ListKind.FULL,
+                HostListKind.FULL,
                 joined(hosts(IntStream.range(0, 24), 0), hosts(IntStream.range(24, HOSTS), g.now - 5000)));
         int cold = 0;
         for (int i = 0; i < 400; i++) {
--- a/src/test/java/caperrudder/GuardsTest.java
+++ b/src/test/java/caperrudder/GuardsTest.java
@@ -4,8 +4,8 @@
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import java.util.ArrayList;
@@ -28,7 +28,7 @@
     void aTryThatComesWithNoTimeLeftIsAnsweredAtOnce() {
         // port-louis rules-3: a late retry was held until the next beat, after its deadline
         FakeGateway g = FakeGateway.alone();
-        g.brain.request(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
+        g.brain.requestReceived(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
         assertEquals(1, g.answers("r"));
     }
 
@@ -49,7 +49,7 @@
     void nothingIsSentAfterTheClientLeft() {
         FakeGateway g = FakeGateway.alone();
         g.ask("r", "read");
-        g.brain.clientLeft(g.now, "r");
+        g.brain.clientDisconnected(g.now, "r");
         g.withHosts("a1");
         g.pass(3000);
         assertEquals(0, g.sends("r"));
@@ -72,17 +72,18 @@
             }
             assertFalse(asked.isEmpty());
             if (left) {
-                asked.forEach(id -> g.brain.clientLeft(g.now, id));
+                asked.forEach(id -> g.brain.clientDisconnected(g.now, id));
             }
             g.pass(2000); // no keeper answers: the own part decides
             assertEquals(left, asked.stream().allMatch(id -> g.sends(id) == 0 && g.answers(id) == 0));
             FakeGateway h = FakeGateway.alone().withHosts("a1");
             h.ask("p", "read");
-            h.brain.hosts(h.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, HostState.DRAINING, 1, 0)));
-            h.end("p", 0, Outcome.FULL, 10);
+            h.brain.hostsUpdated(
+                    h.now, HostListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, HostState.DRAINING, 1, 0)));
+            h.end("p", 0, Outcome.REJECTED, 10);
             assertEquals(1, h.sends("p"));
             if (left) {
-                h.brain.clientLeft(h.now, "p");
+                h.brain.clientDisconnected(h.now, "p");
             }
             h.withHosts("a2").pass(2000);
             assertEquals(left ? 1 : 2, h.sends("p"));
@@ -103,7 +104,7 @@
 
     @Test
     void whatNeverRanIsSentElsewhere() {
-        for (Outcome outcome : List.of(Outcome.FULL, Outcome.CONNECT_FAILED)) {
+        for (Outcome outcome : List.of(Outcome.REJECTED, Outcome.CONNECT_FAILED)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
             g.ask("p", "pay");
             String first = g.hostOf("p");
@@ -144,7 +145,7 @@
     void drainedAndGoneHostsGetNothingNew() {
         for (HostState state : List.of(HostState.DRAINING, HostState.GONE)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.brain.hosts(g.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
+            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
             for (int i = 0; i < 6; i++) {
                 g.ask("r" + i, "read");
             }
@@ -161,7 +162,8 @@
         for (int i = 0; i < 100; i++) {
             steady(g, i);
         }
-        g.brain.hosts(g.now, ListKind.CHANGES, List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
+        g.brain.hostsUpdated(
+                g.now, HostListKind.CHANGES, List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
         int before = g.sent.size();
         for (int i = 100; i < 150; i++) {
             steady(g, i);
@@ -201,11 +203,11 @@
     void eventsForWhatIsNotHeldArePassedOver() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         g.brain.attemptEnded(g.now, new AttemptResult("x", 0, "a1", Outcome.OK, 1, true, 0, 0, new double[0]));
-        g.brain.clientLeft(g.now, "x");
-        g.brain.timer(g.now, "x");
-        g.brain.probed(g.now, "x", Outcome.OK, 1, new double[0]);
-        g.brain.streamStarted(g.now, "x", 0);
-        g.brain.peerSaid(g.now, 5, new byte[] {1});
+        g.brain.clientDisconnected(g.now, "x");
+        g.brain.timerFired(g.now, "x");
+        g.brain.healthCheckEnded(g.now, "x", Outcome.OK, 1, new double[0]);
+        g.brain.responseStarted(g.now, "x", 0);
+        g.brain.peerMessageReceived(g.now, 5, new byte[] {1});
         g.ask("r", "read");
         g.end("r", 7, Outcome.OK, 1);
         g.end("r", 0, Outcome.OK, 1);
--- a/src/test/java/caperrudder/HostCostsTest.java
+++ b/src/test/java/caperrudder/HostCostsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import java.lang.management.ManagementFactory;
 import java.util.List;
@@ -34,7 +34,7 @@
                 .mapToObj(i -> host(i, HostState.RUNNING))
                 .toList();
         long before = allocated();
-        g.brain.hosts(g.now, ListKind.FULL, hosts);
+        g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
         double perHost = (allocated() - before) / (double) HOSTS;
         assertTrue(perHost < 200, perHost + " bytes for a host of a whole list");
 
@@ -42,8 +42,8 @@
         before = allocated();
         for (int i = 0; i < CHANGES / 2; i++) {
             int number = random.nextInt(HOSTS);
-            g.brain.hosts(g.now, ListKind.CHANGES, List.of(host(number, HostState.GONE)));
-            g.brain.hosts(g.now, ListKind.CHANGES, List.of(host(number, HostState.RUNNING)));
+            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(host(number, HostState.GONE)));
+            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(host(number, HostState.RUNNING)));
         }
         long perChange = (allocated() - before) / CHANGES;
         assertTrue(perChange < 20_000, perChange + " bytes for a change");
--- a/src/test/java/caperrudder/HostTableTest.java
+++ b/src/test/java/caperrudder/HostTableTest.java
@@ -4,13 +4,13 @@
 
 import caperrudder.State.Health;
 import caperrudder.State.Server;
-import caperrudder.api.Effect;
+import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Outcome;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Scope;
 import caperrudder.api.Settings;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -50,7 +50,7 @@
     }
 
     private static List<String> open(FakeGateway g) {
-        return ids(HostTable.round(g.brain.table.open(null, Scope.ALL), 0, g.brain.table.openCount()));
+        return ids(HostTable.round(g.brain.table.open(null, DeduplicationScope.ALL), 0, g.brain.table.openCount()));
     }
 
     /** What every gateway once did at each change: walk, copy and sort all hosts. */
@@ -62,8 +62,8 @@
         private final List<String> homes = new ArrayList<>();
         private double capacity;
 
-        void told(ListKind kind, List<Host> hosts) {
-            if (kind != ListKind.CHANGES) all.replaceAll((id, k) -> new Known(k.info(), false, k.coldAt()));
+        void told(HostListKind kind, List<Host> hosts) {
+            if (kind != HostListKind.CHANGES) all.replaceAll((id, k) -> new Known(k.info(), false, k.coldAt()));
             for (Host h : hosts) {
                 Known k = all.get(h.id());
                 double coldAt = k == null ? State.NEVER : k.coldAt();
@@ -126,8 +126,9 @@
                 double started = random.nextInt(3) == 0 ? g.now - random.nextInt(15_000) : 0;
                 told.add(host(random.nextInt(numbers), state, started, "z" + random.nextInt(3), random.nextInt(5)));
             }
-            ListKind kind = whole ? random.nextBoolean() ? ListKind.FULL : ListKind.CACHED : ListKind.CHANGES;
-            g.brain.hosts(g.now, kind, told);
+            HostListKind kind =
+                    whole ? random.nextBoolean() ? HostListKind.FULL : HostListKind.CACHED : HostListKind.CHANGES;
+            g.brain.hostsUpdated(g.now, kind, told);
             walked.told(kind, told);
             compare(walked, g, me, n);
             for (int i = 0; i < 6; i++) {
@@ -138,7 +139,7 @@
                 g.end(id, 0, outcome, 5);
             }
             g.pass(500 + random.nextInt(100) * 10); // beyond a beat at which hosts are counted
-            g.brain.hosts(g.now, ListKind.CHANGES, List.of());
+            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of());
             compare(walked, g, me, n);
         }
     }
@@ -150,7 +151,7 @@
         assertEquals(walked.capacity, g.brain.capacity, 1e-9);
         assertEquals(
                 walked.all.values().stream().filter(WalkedHosts.Known::listed).count(),
-                g.brain.cluster(g.now).size());
+                g.brain.clusterHealth(g.now).size());
     }
 
     /** So many gateways, each told the same hosts. */
@@ -158,7 +159,7 @@
         List<FakeGateway> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(i, gateways, i));
-            g.brain.hosts(g.now, ListKind.FULL, hosts);
+            g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
             fleet.add(g);
         }
         return fleet;
@@ -177,7 +178,7 @@
         Moves all = new Moves(0, 0, 0, 0);
         for (FakeGateway g : fleet) {
             Set<String> before = new HashSet<>(ids(g.brain.homes));
-            g.brain.hosts(g.now, ListKind.CHANGES, List.of(h));
+            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(h));
             Set<String> after = new HashSet<>(ids(g.brain.homes));
             int gained = (int) after.stream().filter(id -> !before.contains(id)).count();
             int lost = (int) before.stream().filter(id -> !after.contains(id)).count();
@@ -227,23 +228,24 @@
         FakeGateway g = FakeGateway.alone();
         Host a = host("a", "z1", 1);
         Host gone = new Host("a", "z1", "std", 1, HostState.GONE, 1, 0);
-        g.brain.hosts(g.now, ListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
+        g.brain.hostsUpdated(g.now, HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
         assertEquals(List.of("b"), open(g));
-        assertEquals(1, g.brain.cluster(g.now).size());
+        assertEquals(1, g.brain.clusterHealth(g.now).size());
         HostTable table = g.brain.table;
-        assertEquals(0, table.open(a, Scope.ZONE).size());
-        assertEquals(1, table.open(host("c", "z2", 2), Scope.CELL).size());
-        g.brain.hosts(g.now, ListKind.CHANGES, List.of(gone, a));
+        assertEquals(0, table.open(a, DeduplicationScope.ZONE).size());
+        assertEquals(1, table.open(host("c", "z2", 2), DeduplicationScope.CELL).size());
+        g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(gone, a));
         assertEquals(List.of("a", "b"), open(g));
-        g.brain.hosts(g.now, ListKind.FULL, List.of(a));
+        g.brain.hostsUpdated(g.now, HostListKind.FULL, List.of(a));
         assertEquals(List.of("a"), open(g));
         g.pass(6000);
         assertNull(table.find("b"));
     }
 
     /** Of very many hosts one alone drops repeats of what another may have run, and is no home of its gateway. */
-    private static void aRepeatFindsTheHostOfItsPlace(Scope scope, String zone) {
-        RequestClass order = new RequestClass("order", Effect.KEYED, scope, 60_000, 1000, 3000, 3, 0, false);
+    private static void aRepeatFindsTheHostOfItsPlace(DeduplicationScope scope, String zone) {
+        RequestClass order =
+                new RequestClass("order", Idempotency.IDEMPOTENCY_KEY, scope, 60_000, 1000, 3000, 3, 0, false);
         Settings s = FakeGateway.settings(3, 100);
         FakeGateway g = new FakeGateway(
                 1000,
@@ -262,10 +264,11 @@
         List<Host> hosts = IntStream.range(0, 20_000)
                 .mapToObj(i -> host("h" + i, "far", 1))
                 .toList();
-        g.brain.hosts(g.now, ListKind.FULL, hosts);
+        g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
         g.ask("r", "order");
         String first = g.hostOf("r");
-        g.brain.hosts(g.now, ListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
+        g.brain.hostsUpdated(
+                g.now, HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
         Set<String> homes = Set.copyOf(ids(g.brain.homes));
         String other = hosts.stream()
                 .map(Host::id)
@@ -274,7 +277,7 @@
                 .orElseThrow();
         g.end("r", 0, Outcome.ERROR, 5);
         assertEquals(1, g.sends("r")); // none may have the repeat
-        g.brain.hosts(g.now, ListKind.CHANGES, List.of(host(other, zone, 9)));
+        g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(host(other, zone, 9)));
         assertFalse(ids(g.brain.homes).contains(other));
         assertEquals(2, g.sends("r"));
         assertEquals(other, g.hostOf("r"));
@@ -282,27 +285,27 @@
 
     @Test
     void aRepeatFindsTheOneHostOfItsZoneAmongVeryMany() {
-        aRepeatFindsTheHostOfItsPlace(Scope.ZONE, "rare");
+        aRepeatFindsTheHostOfItsPlace(DeduplicationScope.ZONE, "rare");
     }
 
     @Test
     void aRepeatFindsTheOneHostOfItsCellAmongVeryMany() {
-        aRepeatFindsTheHostOfItsPlace(Scope.CELL, "far");
+        aRepeatFindsTheHostOfItsPlace(DeduplicationScope.CELL, "far");
     }
 
     /** A gateway among the 4,200 to come. */
     private static FakeGateway oneOfMany(List<Host> hosts) {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(17, 4200, 5));
-        g.brain.hosts(g.now, ListKind.FULL, hosts);
+        g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
         return g;
     }
 
     @Test
     void whereAllHomesAreColdARequestComparesAThousandOtherHostsAtMost() {
         FakeGateway g = oneOfMany(hosts(20_000));
-        g.brain.hosts(
+        g.brain.hostsUpdated(
                 g.now,
-                ListKind.CHANGES,
+                HostListKind.CHANGES,
                 g.brain.homes.stream()
                         .map(s -> new Host(s.info.id(), "z1", "std", 0, HostState.RUNNING, 1, g.now))
                         .toList());
@@ -326,11 +329,12 @@
         long before = g.brain.table.touched();
         for (int i = 0; i < changes / 2; i++) {
             int number = random.nextInt(count);
-            g.brain.hosts(
+            g.brain.hostsUpdated(
                     g.now,
-                    ListKind.CHANGES,
+                    HostListKind.CHANGES,
                     List.of(new Host("h" + number, "z" + number % 4, "std", 0, HostState.GONE, 1, 0)));
-            g.brain.hosts(g.now, ListKind.CHANGES, List.of(FakeGateway.host("h" + number, "z" + number % 4)));
+            g.brain.hostsUpdated(
+                    g.now, HostListKind.CHANGES, List.of(FakeGateway.host("h" + number, "z" + number % 4)));
         }
         return (g.brain.table.touched() - before) / (double) changes;
     }
--- a/src/test/java/caperrudder/InheritanceTest.java
+++ b/src/test/java/caperrudder/InheritanceTest.java
@@ -2,18 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.api.Books;
-import caperrudder.api.ClassBook;
-import caperrudder.api.Cluster;
-import caperrudder.api.CustomerBook;
-import caperrudder.api.HealthBook;
+import caperrudder.api.ClassSnapshot;
+import caperrudder.api.ClusterHealth;
+import caperrudder.api.HealthSnapshot;
 import caperrudder.api.Outcome;
+import caperrudder.api.QuotaSnapshot;
+import caperrudder.api.Snapshot;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What the next process of a gateway makes of the books of the last one. */
 class InheritanceTest {
-    private static final int BURST = (int) FakeGateway.SMALL.burst();
+    private static final int BURST = (int) FakeGateway.SMALL.burstUnits();
 
     private static int use(FakeGateway g, String name, int count) {
         for (int i = 0; i < count; i++) {
@@ -25,7 +25,7 @@
 
     private static FakeGateway next(FakeGateway last) {
         FakeGateway g = new FakeGateway(last.now, FakeGateway.settings(0, 1)).withHosts("a1", "b1");
-        g.brain.inherited(g.now, last.brain.books(last.now));
+        g.brain.restoreSnapshot(g.now, last.brain.takeSnapshot(last.now));
         return g;
     }
 
@@ -37,7 +37,7 @@
         FakeGateway g = next(old);
         assertEquals(0, use(g, "n", 3));
         g.pass(1000);
-        assertEquals((int) FakeGateway.SMALL.rate(), use(g, "m", BURST));
+        assertEquals((int) FakeGateway.SMALL.unitsPerSecond(), use(g, "m", BURST));
     }
 
     /** The old process goes on for a while; what it lets in is told as a running total and charged once. */
@@ -48,7 +48,7 @@
         FakeGateway g = next(old);
         assertEquals(3, use(g, "n", 3));
         assertEquals(4, use(old, "p", 4));
-        for (int i = 0; i < 3; i++) g.brain.inherited(g.now, old.brain.books(old.now));
+        for (int i = 0; i < 3; i++) g.brain.restoreSnapshot(g.now, old.brain.takeSnapshot(old.now));
         assertEquals(BURST - 2 - 3 - 4, use(g, "m", BURST));
     }
 
@@ -59,36 +59,38 @@
         assertEquals(5, use(old, "o", 5));
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
         assertEquals(4, use(g, "n", 4));
-        g.brain.inherited(g.now, old.brain.books(old.now));
+        g.brain.restoreSnapshot(g.now, old.brain.takeSnapshot(old.now));
         assertEquals(BURST - 9, use(g, "m", BURST));
     }
 
     @Test
     void aHostThatFailedIsAvoidedFromTheStart() {
         FakeGateway old = FakeGateway.alone().withHosts("a1", "b1");
-        assertEquals(new Cluster(2, 0), old.brain.cluster(old.now));
+        assertEquals(new ClusterHealth(2, 0), old.brain.clusterHealth(old.now));
         for (int i = 0; i < 40; i++) {
             old.ask("o" + i, "read");
             boolean dead = old.hostOf("o" + i).equals("a1");
             old.end("o" + i, 0, dead ? Outcome.CONNECT_FAILED : Outcome.OK, 10);
         }
-        assertEquals(new Cluster(2, 1), old.brain.cluster(old.now));
-        assertEquals(new Cluster(2, 1), next(old).brain.cluster(old.now));
+        assertEquals(new ClusterHealth(2, 1), old.brain.clusterHealth(old.now));
+        assertEquals(new ClusterHealth(2, 1), next(old).brain.clusterHealth(old.now));
     }
 
     /** Weights are shares of one whole: those of other classes cannot be mixed with own ones. */
     @Test
     void booksOfOtherClassesAndPlansChangeNothing() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-        g.brain.inherited(
+        g.brain.restoreSnapshot(
                 g.now,
-                new Books(
+                new Snapshot(
                         g.now,
                         6,
-                        List.of(new CustomerBook(1, "gone", 0, 1, 0, 0, 0, 0, 9, 0, 1, g.now, 0)),
-                        List.of(new HealthBook("none", "", 12, g.now, 3), new HealthBook("a1", "none", 12, g.now, 3)),
-                        List.of(new ClassBook("none", 1, 1, 1, 1, 1, 1))));
-        assertEquals(new Cluster(2, 0), g.brain.cluster(g.now));
+                        List.of(new QuotaSnapshot(1, "gone", 0, 1, 0, 0, 0, 0, 9, 0, 1, g.now, 0)),
+                        List.of(
+                                new HealthSnapshot("none", "", 12, g.now, 3),
+                                new HealthSnapshot("a1", "none", 12, g.now, 3)),
+                        List.of(new ClassSnapshot("none", 1, 1, 1, 1, 1, 1))));
+        assertEquals(new ClusterHealth(2, 0), g.brain.clusterHealth(g.now));
         assertEquals(BURST, use(g, "n", BURST));
     }
 }
--- a/src/test/java/caperrudder/LoadedQuotaWorld.java
+++ b/src/test/java/caperrudder/LoadedQuotaWorld.java
@@ -88,7 +88,7 @@
         }
 
         double worth() {
-            return first.worth() * requestClass.worth();
+            return first.worth() * requestClass.priorityWeight();
         }
     }
 
@@ -161,7 +161,7 @@
     private double worthInside() {
         Map<Long, TrueUse> seen = new HashMap<>();
         double meanWorth = load.classes().stream()
-                .mapToDouble(RequestClass::worth)
+                .mapToDouble(RequestClass::priorityWeight)
                 .average()
                 .orElse(1);
         PriorityQueue<Event> ends = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
@@ -207,7 +207,7 @@
             use(client).again(now);
         } else {
             client.inside = use(client).take(now, client.first.units());
-            if (!client.inside) cost += client.worth() * client.first.plan().overCost();
+            if (!client.inside) cost += client.worth() * client.first.plan().overQuotaCost();
         }
         hosts.begin(host, now, client.id, client.workMs + NETWORK_MS);
         awaitNext(host);
@@ -227,7 +227,7 @@
         client.waits = false;
         double time = now - client.first.at();
         times.add(time);
-        if (client.inside && time <= client.requestClass.aimMs()) served += client.worth();
+        if (client.inside && time <= client.requestClass.latencyObjectiveMs()) served += client.worth();
     }
 
     private Client take(String id) {
@@ -339,7 +339,7 @@
         public void arrives(double time, Client client) {
             FakeGateway module = runTo(client.gateway, time);
             QuotaWorld.Try t = client.first;
-            module.brain.request(
+            module.brain.requestReceived(
                     time,
                     new Request(
                             client.id,
@@ -380,7 +380,7 @@
         @Override
         public void left(double time, Client client) {
             FakeGateway module = runTo(client.gateway, time);
-            module.brain.clientLeft(time, client.id);
+            module.brain.clientDisconnected(time, client.id);
             carryOut(client.gateway);
         }
 
--- a/src/test/java/caperrudder/OverQuotaUnderLoadTest.java
+++ b/src/test/java/caperrudder/OverQuotaUnderLoadTest.java
@@ -6,10 +6,10 @@
 import caperrudder.LoadedQuotaWorld.Load;
 import caperrudder.LoadedQuotaWorld.Result;
 import caperrudder.QuotaWorld.Habits;
-import caperrudder.api.Effect;
+import caperrudder.api.DeduplicationScope;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Plan;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Scope;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.LongStream;
@@ -43,7 +43,8 @@
     }
 
     private static RequestClass requestClass(String name, double aimMs, double deadlineMs, double worth) {
-        return new RequestClass(name, Effect.REPEATABLE, Scope.ALL, 0, aimMs, deadlineMs, worth, 0, false);
+        return new RequestClass(
+                name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, aimMs, deadlineMs, worth, 0, false);
     }
 
     /** Requests of one to four units, and a plan that limits the attempts open at once. */
--- a/src/test/java/caperrudder/PartsTest.java
+++ b/src/test/java/caperrudder/PartsTest.java
@@ -45,7 +45,7 @@
                         continue;
                     }
                     for (int copy = 0; copy < (repeating ? 2 : 1); copy++) {
-                        all.get(t.peer()).brain.peerSaid(all.get(t.peer()).now, from, t.data());
+                        all.get(t.peer()).brain.peerMessageReceived(all.get(t.peer()).now, from, t.data());
                     }
                 }
             }
@@ -143,16 +143,16 @@
         FakeGateway g = all.get(keeper);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
             Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
-            g.brain.peerSaid(g.now, member, new Tell(500, 0, 1 + set[1], 0, List.of(e)).bytes());
+            g.brain.peerMessageReceived(g.now, member, new Tell(500, 0, 1 + set[1], 0, List.of(e)).bytes());
         }
         Tell.Entry plan = new Tell.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
-        g.brain.peerSaid(g.now, member, new Tell(600, 0, 1, 0, List.of(plan)).bytes());
+        g.brain.peerMessageReceived(g.now, member, new Tell(600, 0, 1, 0, List.of(plan)).bytes());
         g.pass(100);
         assertTrue(g.told.isEmpty());
         Tell.Entry good = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
         byte[] once = new Tell(700, 0, 1, 0, List.of(good)).bytes();
-        g.brain.peerSaid(g.now, member, once);
-        g.brain.peerSaid(g.now, member, once);
+        g.brain.peerMessageReceived(g.now, member, once);
+        g.brain.peerMessageReceived(g.now, member, once);
         g.pass(100);
         Tell.Entry answer = g.told.stream()
                 .flatMap(t -> Tell.read(t.data()).entries().stream())
@@ -263,7 +263,7 @@
                         false,
                         s.classes(),
                         s.plans(),
-                        s.reportNames(),
+                        s.loadReportFields(),
                         alone,
                         s.rules(),
                         new Sharing(false, 0, 1000, false, 4, 0, 0, 0, 0)));
@@ -316,7 +316,7 @@
         Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
         for (int life : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
             int before = g.told.size();
-            g.brain.peerSaid(g.now, 1, new Tell(life, 0, 1, 0, List.of(e)).bytes());
+            g.brain.peerMessageReceived(g.now, 1, new Tell(life, 0, 1, 0, List.of(e)).bytes());
             g.pass(200);
             assertTrue(g.told.size() > before, "no answer to life " + life);
         }
--- a/src/test/java/caperrudder/QuotaFleetTest.java
+++ b/src/test/java/caperrudder/QuotaFleetTest.java
@@ -40,12 +40,14 @@
 
         Store(Plan plan) {
             this.plan = plan;
-            before.put(0.0, plan.burst());
+            before.put(0.0, plan.burstUnits());
         }
 
         double level(double at) {
             Map.Entry<Double, Double> last = before.floorEntry(Math.max(0, at));
-            return Math.min(plan.burst(), last.getValue() + plan.rate() * (Math.max(0, at) - last.getKey()) / 1000);
+            return Math.min(
+                    plan.burstUnits(),
+                    last.getValue() + plan.unitsPerSecond() * (Math.max(0, at) - last.getKey()) / 1000);
         }
 
         /** Whether it was inside the quota; what is beyond takes nothing. */
@@ -84,7 +86,7 @@
             double kind = r.nextDouble();
             double use = kind < 0.7 ? 0.2 + 0.3 * r.nextDouble() : kind < 0.92 ? 0.9 : 1.9 + 1.5 * r.nextDouble();
             int busiest = r.nextInt(GATEWAYS);
-            for (double at = 1; at < RUN_MS; at += -Math.log(1 - r.nextDouble()) * 1000 / (use * p.rate())) {
+            for (double at = 1; at < RUN_MS; at += -Math.log(1 - r.nextDouble()) * 1000 / (use * p.unitsPerSecond())) {
                 int gateway = (busiest + (int) (GATEWAYS * Math.pow(r.nextDouble(), 2))) % GATEWAYS;
                 all.add(new Try(at, gateway, customer, p));
             }
@@ -94,12 +96,13 @@
     }
 
     private static void count(Tally t, Store s, Try of, boolean in) {
-        boolean room = s.level(of.at()) >= Math.max(1, of.plan().burst() / 2); // as the bench counts it: half unused
+        boolean room =
+                s.level(of.at()) >= Math.max(1, of.plan().burstUnits() / 2); // as the bench counts it: half unused
         t.tries++;
         if (!in) {
             t.refusedWithRoom += room ? 1 : 0;
         } else if (!s.take(of.at())) {
-            t.cost += of.plan().overCost();
+            t.cost += of.plan().overQuotaCost();
         }
     }
 
@@ -126,7 +129,7 @@
     private static int metered(List<Double> uses, Plan p, double now) {
         double end = Math.floor((now - LATE_MS) / PERIOD_MS) * PERIOD_MS;
         long units = uses.stream().filter(u -> u >= end - PERIOD_MS && u < end).count();
-        return 1 + (int) (100 * units * 1000 / PERIOD_MS / p.rate());
+        return 1 + (int) (100 * units * 1000 / PERIOD_MS / p.unitsPerSecond());
     }
 
     private static Tally byTheFleet(long seed, List<Try> tries, List<Plan> plans) {
@@ -142,7 +145,7 @@
                     false,
                     s.classes(),
                     plans,
-                    s.reportNames(),
+                    s.loadReportFields(),
                     s.limits(),
                     s.rules(),
                     new Sharing(false, 0, PERIOD_MS, false, 1, 0, 0, 0, 0));
@@ -165,7 +168,7 @@
             FakeGateway g = fleet.get(t.gateway());
             g.runTo(t.at());
             String id = "t" + serial++;
-            g.brain.request(
+            g.brain.requestReceived(
                     t.at(),
                     new Request(
                             id,
--- a/src/test/java/caperrudder/QuotaWorld.java
+++ b/src/test/java/caperrudder/QuotaWorld.java
@@ -29,7 +29,7 @@
     /** One try: {@code spread} gateways from {@code first} on may get it, and this gateway did. */
     record Try(double at, int gateway, long customer, Plan plan, double units, int first, int spread, int further) {
         double worth() {
-            return plan.price() * units;
+            return plan.valueFactor() * units;
         }
     }
 
@@ -102,7 +102,7 @@
             boolean room = use(t).halfUnused(t.at(), t.units());
             if (policy.admits(t)) {
                 if (use(t).take(t.at(), t.units())) served += t.worth();
-                else cost += t.worth() * t.plan().overCost();
+                else cost += t.worth() * t.plan().overQuotaCost();
                 ends.add(new End(t.at() + answerMs, t));
                 continue;
             }
@@ -137,7 +137,7 @@
                     false,
                     s.classes(),
                     plans,
-                    s.reportNames(),
+                    s.loadReportFields(),
                     s.limits(),
                     s.rules(),
                     new Sharing(false, 0, PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
@@ -151,7 +151,7 @@
                 FakeGateway g = fleet.get(t.gateway());
                 g.runTo(t.at());
                 String id = "t" + ids.size() + "-" + t.at();
-                g.brain.request(
+                g.brain.requestReceived(
                         t.at(),
                         new Request(
                                 id,
@@ -198,7 +198,8 @@
         long customer = 0;
         for (int p = 0; p < customers.length; p++) {
             Plan plan = plans.get(p);
-            double quota = plan.rate() > 0 ? plan.rate() : plan.openLimit() * 1000 / answerMs / 2.5;
+            double quota =
+                    plan.unitsPerSecond() > 0 ? plan.unitsPerSecond() : plan.concurrencyLimit() * 1000 / answerMs / 2.5;
             for (int i = 0; i < customers[p]; i++) {
                 customer++;
                 double kind = r.nextDouble();
@@ -213,7 +214,8 @@
                     double units = habits.units().applyAsDouble(r);
                     int gateway = (first + (int) (spread * Math.pow(r.nextDouble(), 2))) % gateways;
                     all.add(new Try(at, gateway, customer, plan, units, first, spread, 2));
-                    double perSecond = (spike ? habits.spikeTimes() : use) * quota / (plan.rate() > 0 ? units : 1);
+                    double perSecond =
+                            (spike ? habits.spikeTimes() : use) * quota / (plan.unitsPerSecond() > 0 ? units : 1);
                     at += -Math.log(1 - r.nextDouble()) * 1000 / perSecond;
                 }
             }
--- a/src/test/java/caperrudder/SeededWorld.java
+++ b/src/test/java/caperrudder/SeededWorld.java
@@ -1,13 +1,13 @@
 package caperrudder;
 
-import caperrudder.api.Actions;
 import caperrudder.api.AttemptResult;
-import caperrudder.api.Events;
 import caperrudder.api.Host;
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
 import caperrudder.api.Outcome;
 import caperrudder.api.Plan;
+import caperrudder.api.PolicyActions;
+import caperrudder.api.PolicyEvents;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
 import java.util.ArrayList;
@@ -60,9 +60,9 @@
     private record Event(double at, long order, Runnable what) {}
 
     /** One process of a gateway: its policy, what that does, and how the world carries it out. */
-    final class GatewayProcess implements Actions {
+    final class GatewayProcess implements PolicyActions {
         final int number;
-        final Events policy;
+        final PolicyEvents policy;
         final ActionRecorder actions;
         private double stalledTill;
 
@@ -73,7 +73,7 @@
         }
 
         /** The policy meets an event, once its event loop doesn't stall. */
-        void meet(Consumer<Events> event) {
+        void meet(Consumer<PolicyEvents> event) {
             if (now < stalledTill) at(stalledTill, () -> meet(event));
             else event.accept(policy);
         }
@@ -83,18 +83,18 @@
         }
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void sendAttempt(String id, String host, double timeoutMs) {
             startAttempt(calls.get(id), endpoints.get(host));
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             Attempt cancelled = calls.get(id).attempts.get(attempt);
             at(now + NETWORK_MS, () -> end(cancelled, Outcome.CANCELLED));
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {
+        public void reject(String id, double retryAfterMs) {
             Call call = calls.get(id);
             call.answered = true;
             if (retryAfterMs <= 0 || call.comebacks >= COMEBACKS || !occurs(call.traffic.comingBack())) return;
@@ -108,17 +108,17 @@
         }
 
         @Override
-        public void timer(double delayMs, String token) {
-            at(now + delayMs, () -> meet(p -> p.timer(now, token)));
+        public void startTimer(double delayMs, String token) {
+            at(now + delayMs, () -> meet(p -> p.timerFired(now, token)));
         }
 
         @Override
-        public void probe(String host) {
-            at(now + NETWORK_MS, () -> meet(p -> p.probed(now, host, Outcome.OK, NETWORK_MS, NO_REPORT)));
+        public void startHealthCheck(String host) {
+            at(now + NETWORK_MS, () -> meet(p -> p.healthCheckEnded(now, host, Outcome.OK, NETWORK_MS, NO_REPORT)));
         }
 
         @Override
-        public void tell(int peer, byte[] data) {
+        public void sendToPeer(int peer, byte[] data) {
             if (occurs(peerNetwork.lost())) {
                 messagesLost++;
                 return;
@@ -130,16 +130,16 @@
         }
 
         @Override
-        public void count(String counter, double amount, double lifetimeMs) {
-            at(now + NETWORK_MS, () -> meet(p -> p.counted(now, counter, Outcome.OK, amount)));
+        public void addToCounter(String counter, double amount, double lifetimeMs) {
+            at(now + NETWORK_MS, () -> meet(p -> p.counterUpdated(now, counter, Outcome.OK, amount)));
         }
 
         @Override
-        public void watchHosts() {
+        public void subscribeToHosts() {
             boolean fails = failingLists > 0;
             failingLists -= fails ? 1 : 0;
-            ListKind kind = fails ? ListKind.FAILED : ListKind.FULL;
-            at(now + DISCOVERY_MS, () -> meet(p -> p.hosts(now, kind, fails ? List.of() : listed())));
+            HostListKind kind = fails ? HostListKind.FAILED : HostListKind.FULL;
+            at(now + DISCOVERY_MS, () -> meet(p -> p.hostsUpdated(now, kind, fails ? List.of() : listed())));
         }
     }
 
@@ -159,7 +159,7 @@
             this.process = process;
             this.request = request;
             this.traffic = traffic;
-            this.arriving = request.arriving();
+            this.arriving = request.bodyPending();
             this.deadlineMs = request.deadlineMs();
         }
     }
@@ -335,7 +335,8 @@
 
     /** It starts cold. */
     void restart(SimulatedEndpoint endpoint) {
-        endpoint.start(now, settings.rules().coldFrom(), settings.rules().warmWithinMs());
+        endpoint.start(
+                now, settings.rules().coldStartCapacity(), settings.rules().slowStartMs());
     }
 
     private List<Host> listed() {
@@ -349,15 +350,17 @@
     void publish(List<SimulatedEndpoint> changed) {
         List<Host> hosts = changed.stream().map(SimulatedEndpoint::listed).toList();
         for (GatewayProcess process : processes) {
-            at(now + DISCOVERY_MS + process.number % 7, () -> process.meet(p -> p.hosts(now, ListKind.CHANGES, hosts)));
+            at(
+                    now + DISCOVERY_MS + process.number % 7,
+                    () -> process.meet(p -> p.hostsUpdated(now, HostListKind.CHANGES, hosts)));
         }
     }
 
     /** Tells all gateways the whole list. */
-    void publishAll(ListKind kind) {
+    void publishAll(HostListKind kind) {
         List<Host> hosts = listed();
         for (GatewayProcess process : processes) {
-            at(now + DISCOVERY_MS, () -> process.meet(p -> p.hosts(now, kind, hosts)));
+            at(now + DISCOVERY_MS, () -> process.meet(p -> p.hostsUpdated(now, kind, hosts)));
         }
     }
 
@@ -391,7 +394,7 @@
     private void submit(Call call, RequestClass requestClass) {
         calls.put(call.request.id(), call);
         call.streams = requestClass.streaming();
-        call.process.meet(p -> p.request(now, call.request));
+        call.process.meet(p -> p.requestReceived(now, call.request));
         if (call.arriving) {
             at(now + random.nextDouble() * UPLOAD_MS, () -> complete(call, requestClass));
         }
@@ -407,7 +410,7 @@
         call.process.meet(p -> {
             call.arriving = false;
             call.deadlineMs = now + requestClass.deadlineMs();
-            p.requestWhole(now, call.request.id(), call.deadlineMs);
+            p.requestCompleted(now, call.request.id(), call.deadlineMs);
             call.attempts.stream().filter(a -> a.out).toList().forEach(this::reach);
         });
     }
@@ -416,7 +419,7 @@
         if (call.answered && call.attempts.stream().noneMatch(a -> a.out && a.streaming)) return;
         call.answered = true;
         clientsLeft++;
-        call.process.meet(p -> p.clientLeft(now, call.request.id()));
+        call.process.meet(p -> p.clientDisconnected(now, call.request.id()));
         for (Attempt attempt : call.attempts) {
             if (!attempt.streaming || !attempt.out) continue;
             streamsLeft++;
@@ -440,8 +443,8 @@
                 last.customer(),
                 last.plan(),
                 last.units(),
-                last.first(),
-                last.spread());
+                last.firstReplica(),
+                last.replicaCount());
         Call call = new Call(serving[refused.process.number], request, refused.traffic);
         call.comebacks = refused.comebacks + 1;
         submit(call, requestClass);
@@ -471,7 +474,7 @@
     private void spend(Attempt attempt) {
         if (!attempt.out || !attempt.call.arriving || attempt.call.answered) return;
         requestsSpent++;
-        attempt.call.process.meet(p -> p.requestSpent(now, attempt.call.request.id()));
+        attempt.call.process.meet(p -> p.requestNotReplayable(now, attempt.call.request.id()));
         if (occurs(faults.reset())) endAt(now + NETWORK_MS, attempt, Outcome.RESET);
     }
 
@@ -483,9 +486,9 @@
         } else if (occurs(faults.connect())) {
             endAt(now + settings.limits().connectTimeoutMs(), attempt, Outcome.CONNECT_FAILED);
         } else if (occurs(faults.moot())) {
-            endAt(now + NETWORK_MS, attempt, Outcome.MOOT);
+            endAt(now + NETWORK_MS, attempt, Outcome.NOT_SENT);
         } else if (attempt.endpoint.isFull() || occurs(faults.full())) {
-            endAt(now + NETWORK_MS, attempt, Outcome.FULL);
+            endAt(now + NETWORK_MS, attempt, Outcome.REJECTED);
         } else {
             attempt.held = true;
             attempt.endpoint.held++;
@@ -510,7 +513,7 @@
 
     private void respond(Attempt attempt, double when) {
         Call call = attempt.call;
-        Outcome outcome = occurs(faults.spoilt()) ? Outcome.SPOILT : Outcome.OK;
+        Outcome outcome = occurs(faults.spoilt()) ? Outcome.MALFORMED : Outcome.OK;
         if (when > call.deadlineMs) {
             endAt(call.deadlineMs, attempt, Outcome.TIMEOUT);
         } else if (call.streams && outcome == Outcome.OK) {
@@ -538,7 +541,7 @@
         attempt.streaming = true;
         attempt.call.answered = true;
         streamsStarted++;
-        attempt.call.process.meet(p -> p.streamStarted(now, attempt.call.request.id(), attempt.number));
+        attempt.call.process.meet(p -> p.responseStarted(now, attempt.call.request.id(), attempt.number));
         boolean breaks = occurs(faults.reset());
         at(now + random.nextDouble() * STREAM_MS, () -> {
             boolean whole = !breaks && stillThere(attempt);
@@ -568,7 +571,7 @@
         double trueUnits =
                 responded && settings.sharing().postPaid() ? request.units() * (0.5 + random.nextDouble()) : 0;
         SimulatedEndpoint endpoint = attempt.endpoint;
-        double[] report = responded || outcome == Outcome.FULL
+        double[] report = responded || outcome == Outcome.REJECTED
                 ? new double[] {Math.min(1, (double) endpoint.held / endpoint.cores()), endpoint.held}
                 : NO_REPORT;
         call.process.meet(p -> p.attemptEnded(
@@ -605,8 +608,10 @@
                 .filter(p -> p.name().equals(request.plan()))
                 .findFirst()
                 .orElse(WorldSettings.FREE);
-        double limit = plan.rate() > 0 ? plan.rate() * settings.sharing().meterPeriodMs() / 1000 : plan.openLimit();
-        return 1 + (int) Math.round(100 * (plan.rate() > 0 ? meter.lastUnits : meter.lastPeak) / limit);
+        double limit = plan.unitsPerSecond() > 0
+                ? plan.unitsPerSecond() * settings.sharing().meterPeriodMs() / 1000
+                : plan.concurrencyLimit();
+        return 1 + (int) Math.round(100 * (plan.unitsPerSecond() > 0 ? meter.lastUnits : meter.lastPeak) / limit);
     }
 
     private void deliver(int from, int to, byte[] data) {
@@ -616,6 +621,6 @@
             arriving[random.nextInt(arriving.length)] ^= 0x20;
         }
         double delay = peerNetwork.leastMs() + (peerNetwork.mostMs() - peerNetwork.leastMs()) * random.nextDouble();
-        at(now + delay, () -> serving[to].meet(p -> p.peerSaid(now, from, arriving)));
+        at(now + delay, () -> serving[to].meet(p -> p.peerMessageReceived(now, from, arriving)));
     }
 }
--- a/src/test/java/caperrudder/SlowStartDecisionsTest.java
+++ b/src/test/java/caperrudder/SlowStartDecisionsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
-import caperrudder.api.ListKind;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -84,7 +84,7 @@
         }
         world.run(50);
         world.play(free(2500), 500);
-        world.publishAll(ListKind.CACHED);
+        world.publishAll(HostListKind.CACHED);
         world.publish(List.of(world.addEndpoint()));
         world.play(free(2500), 500);
         assertTrue(world.sendsToWarmingUp > 1000, "sends to endpoints that warm up: " + world.sendsToWarmingUp);
--- a/src/test/java/caperrudder/SnapshotDecisionsTest.java
+++ b/src/test/java/caperrudder/SnapshotDecisionsTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.SeededWorld.GatewayProcess;
-import caperrudder.api.Books;
-import caperrudder.api.ClassBook;
-import caperrudder.api.Cluster;
-import caperrudder.api.CustomerBook;
-import caperrudder.api.Events;
-import caperrudder.api.HealthBook;
+import caperrudder.api.ClassSnapshot;
+import caperrudder.api.ClusterHealth;
+import caperrudder.api.HealthSnapshot;
+import caperrudder.api.PolicyEvents;
+import caperrudder.api.QuotaSnapshot;
+import caperrudder.api.Snapshot;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -42,10 +42,10 @@
         }
 
         void handOver(GatewayProcess from, GatewayProcess to) {
-            Books snapshot = from.policy.books(world.now());
+            Snapshot snapshot = from.policy.takeSnapshot(world.now());
             snapshots.addAll(text(snapshot));
-            to.policy.inherited(world.now(), snapshot);
-            Cluster cluster = to.policy.cluster(world.now());
+            to.policy.restoreSnapshot(world.now(), snapshot);
+            ClusterHealth cluster = to.policy.clusterHealth(world.now());
             snapshots.add("cluster " + cluster.size() + " " + cluster.unhealthy());
         }
 
@@ -59,22 +59,25 @@
         }
     }
 
-    private static List<String> text(Books snapshot) {
+    private static List<String> text(Snapshot snapshot) {
         List<String> lines = new ArrayList<>();
-        lines.add("snapshot " + bits(snapshot.at()) + " " + bits(snapshot.perHost()));
-        for (CustomerBook c : snapshot.customers()) {
-            lines.add("customer " + c.customer() + " " + c.plan() + " " + c.first() + " " + c.spread() + " "
-                    + bits(c.level()) + " " + bits(c.tokens()) + " " + bits(c.store()) + " " + bits(c.demand()) + " "
-                    + bits(c.used()) + " " + bits(c.useRate()) + " " + bits(c.meterPart()) + " " + bits(c.meterAt())
-                    + " " + bits(c.meterOthers()));
+        lines.add("snapshot " + bits(snapshot.takenAtMs()) + " " + bits(snapshot.concurrencyPerHost()));
+        for (QuotaSnapshot c : snapshot.quotas()) {
+            lines.add(
+                    "customer " + c.customer() + " " + c.plan() + " " + c.firstReplica() + " " + c.replicaCount() + " "
+                            + bits(c.sharedLevel()) + " " + bits(c.localTokens()) + " " + bits(c.meteredLevel()) + " "
+                            + bits(c.demandPerSecond()) + " "
+                            + bits(c.usedUnits()) + " " + bits(c.usePerSecond()) + " " + bits(c.meteredShare()) + " "
+                            + bits(c.meteredAtMs())
+                            + " " + bits(c.meteredOthersPerSecond()));
         }
-        for (HealthBook h : snapshot.health()) {
-            lines.add("health " + h.host() + " " + h.requestClass() + " " + bits(h.slow()) + " " + bits(h.at()) + " "
-                    + h.failures());
+        for (HealthSnapshot h : snapshot.health()) {
+            lines.add("health " + h.host() + " " + h.requestClass() + " " + bits(h.latencyPenalty()) + " "
+                    + bits(h.updatedAtMs()) + " " + h.failuresSinceSuccess());
         }
-        for (ClassBook c : snapshot.classes()) {
+        for (ClassSnapshot c : snapshot.classes()) {
             lines.add("class " + c.name() + " " + bits(c.weight()) + " " + bits(c.latencyPerUnit()) + " "
-                    + bits(c.base()) + " " + c.samples() + " " + bits(c.delay()) + " " + bits(c.slope()));
+                    + bits(c.baseLatencyPerUnit()) + " " + c.samples() + " " + bits(c.delay()) + " " + bits(c.slope()));
         }
         return lines;
     }
@@ -194,8 +197,8 @@
     private static double attemptsPerEndpointAfter(double inherited) {
         SeededWorld world = new SeededWorld(WorldSettings.withPeers(24, 1), HOSTS);
         world.run(50);
-        Events policy = world.serving(0).policy;
-        policy.inherited(world.now(), new Books(world.now(), inherited, List.of(), List.of(), List.of()));
-        return policy.books(world.now()).perHost();
+        PolicyEvents policy = world.serving(0).policy;
+        policy.restoreSnapshot(world.now(), new Snapshot(world.now(), inherited, List.of(), List.of(), List.of()));
+        return policy.takeSnapshot(world.now()).concurrencyPerHost();
     }
 }
--- a/src/test/java/caperrudder/TrueUse.java
+++ b/src/test/java/caperrudder/TrueUse.java
@@ -13,13 +13,14 @@
 
     TrueUse(Plan plan) {
         this.plan = plan;
-        levels.put(0.0, plan.burst());
+        levels.put(0.0, plan.burstUnits());
         outs.put(0.0, 0);
     }
 
     double level(double at) {
         Map.Entry<Double, Double> last = levels.floorEntry(Math.max(0, at));
-        return Math.min(plan.burst(), last.getValue() + plan.rate() * (Math.max(0, at) - last.getKey()) / 1000);
+        return Math.min(
+                plan.burstUnits(), last.getValue() + plan.unitsPerSecond() * (Math.max(0, at) - last.getKey()) / 1000);
     }
 
     int out(double at) {
@@ -27,19 +28,20 @@
     }
 
     boolean holds(double at, double wanted) {
-        return (plan.rate() <= 0 || level(at) >= wanted) && (plan.openLimit() <= 0 || out(at) < plan.openLimit());
+        return (plan.unitsPerSecond() <= 0 || level(at) >= wanted)
+                && (plan.concurrencyLimit() <= 0 || out(at) < plan.concurrencyLimit());
     }
 
     /** As the bench counts it: at least half of the quota is unused. */
     boolean halfUnused(double at, double wanted) {
-        return (plan.rate() <= 0 || level(at) >= Math.max(wanted, plan.burst() / 2))
-                && (plan.openLimit() <= 0 || out(at) <= plan.openLimit() / 2);
+        return (plan.unitsPerSecond() <= 0 || level(at) >= Math.max(wanted, plan.burstUnits() / 2))
+                && (plan.concurrencyLimit() <= 0 || out(at) <= plan.concurrencyLimit() / 2);
     }
 
     /** Whether it was inside the quota; what is beyond takes nothing. */
     boolean take(double at, double wanted) {
         boolean inside = holds(at, wanted);
-        if (plan.rate() > 0) levels.put(at, level(at) - (inside ? wanted : 0));
+        if (plan.unitsPerSecond() > 0) levels.put(at, level(at) - (inside ? wanted : 0));
         units.merge(at, wanted, Double::sum);
         outs.put(at, out(at) + 1);
         return inside;
@@ -59,14 +61,14 @@
         double end = Math.floor((now - QuotaWorld.LATE_MS) / QuotaWorld.PERIOD_MS) * QuotaWorld.PERIOD_MS;
         double begin = end - QuotaWorld.PERIOD_MS;
         if (end <= 0) return 1;
-        if (plan.rate() > 0) {
+        if (plan.unitsPerSecond() > 0) {
             double used = units.subMap(begin, end).values().stream()
                     .mapToDouble(u -> u)
                     .sum();
-            return 1 + (int) (100 * used * 1000 / QuotaWorld.PERIOD_MS / plan.rate());
+            return 1 + (int) (100 * used * 1000 / QuotaWorld.PERIOD_MS / plan.unitsPerSecond());
         }
         int peak =
                 outs.subMap(begin, end).values().stream().mapToInt(o -> o).max().orElse(0);
-        return 1 + 100 * Math.max(peak, out(begin)) / plan.openLimit();
+        return 1 + 100 * Math.max(peak, out(begin)) / plan.concurrencyLimit();
     }
 }
--- a/src/test/java/caperrudder/WorldSettings.java
+++ b/src/test/java/caperrudder/WorldSettings.java
@@ -1,11 +1,11 @@
 package caperrudder;
 
-import caperrudder.api.Effect;
+import caperrudder.api.DeduplicationScope;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Limits;
 import caperrudder.api.Plan;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Rules;
-import caperrudder.api.Scope;
 import caperrudder.api.Settings;
 import caperrudder.api.Sharing;
 import java.util.List;
@@ -16,15 +16,17 @@
  */
 record WorldSettings(long seed, int gateways, Limits limits, Rules rules, Sharing sharing) {
     static final RequestClass LOOKUP =
-            new RequestClass("lookup", Effect.REPEATABLE, Scope.ALL, 0, 300, 1500, 1, 0.2, false);
-    static final RequestClass ORDER = new RequestClass("order", Effect.KEYED, Scope.ALL, 900, 400, 1500, 2, 0, false);
-    static final RequestClass TRANSFER =
-            new RequestClass("transfer", Effect.KEYED, Scope.ZONE, 700, 400, 1500, 3, 0, false);
-    static final RequestClass BOOKING =
-            new RequestClass("booking", Effect.KEYED, Scope.CELL, 700, 400, 1500, 2, 0, false);
-    static final RequestClass PAYMENT =
-            new RequestClass("payment", Effect.ONCE, Scope.ALL, 0, 500, 2000, 3, 0.6, false);
-    static final RequestClass FEED = new RequestClass("feed", Effect.REPEATABLE, Scope.ALL, 0, 300, 2500, 1, 0.5, true);
+            new RequestClass("lookup", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1500, 1, 0.2, false);
+    static final RequestClass ORDER =
+            new RequestClass("order", Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 900, 400, 1500, 2, 0, false);
+    static final RequestClass TRANSFER = new RequestClass(
+            "transfer", Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 700, 400, 1500, 3, 0, false);
+    static final RequestClass BOOKING = new RequestClass(
+            "booking", Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 700, 400, 1500, 2, 0, false);
+    static final RequestClass PAYMENT = new RequestClass(
+            "payment", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, 500, 2000, 3, 0.6, false);
+    static final RequestClass FEED =
+            new RequestClass("feed", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 2500, 1, 0.5, true);
     static final List<RequestClass> CLASSES = List.of(LOOKUP, ORDER, TRANSFER, BOOKING, PAYMENT, FEED);
 
     static final Plan SMALL = new Plan("small", 4, 12, 0, 1, 0, 1, 0, 0, 0);
--- a/src/test/java/caperrudder/net/FatalTest.java
+++ b/src/test/java/caperrudder/net/FatalTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.Brain;
-import caperrudder.api.Events;
+import caperrudder.api.PolicyEvents;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.net.InetAddress;
@@ -95,8 +95,10 @@
             NodeConfig config = NodeConfig.read(System.getenv("NODE_CONFIG"));
             Node node = new Node(config, act -> {
                 Brain brain = new Brain(act);
-                return (Events) Proxy.newProxyInstance(
-                        Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, values) -> {
+                return (PolicyEvents) Proxy.newProxyInstance(
+                        PolicyEvents.class.getClassLoader(),
+                        new Class<?>[] {PolicyEvents.class},
+                        (proxy, method, values) -> {
                             if (method.getName().equals(args[0])) {
                                 throw new StackOverflowError(args[0]);
                             }
--- a/src/test/java/caperrudder/net/HandoverFilesGoldenTest.java
+++ b/src/test/java/caperrudder/net/HandoverFilesGoldenTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import caperrudder.GoldenFiles;
-import caperrudder.api.Books;
-import caperrudder.api.HealthBook;
+import caperrudder.api.HealthSnapshot;
+import caperrudder.api.Snapshot;
 import caperrudder.net.HandoverFiles.Claim;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -143,9 +143,9 @@
         int health = 34; // bytes of an entry: two names of which one is empty, two doubles, a count
         int head = 40; // bytes of a snapshot without entries
         int room = (SNAPSHOT_BYTES - head) / health;
-        HealthBook entry = new HealthBook("host-67890", "", 1, 2, 3);
-        Books largest = new Books(1, 2, List.of(), Collections.nCopies(room, entry), List.of());
-        Books larger = new Books(1, 2, List.of(), Collections.nCopies(room + 1, entry), List.of());
+        HealthSnapshot entry = new HealthSnapshot("host-67890", "", 1, 2, 3);
+        Snapshot largest = new Snapshot(1, 2, List.of(), Collections.nCopies(room, entry), List.of());
+        Snapshot larger = new Snapshot(1, 2, List.of(), Collections.nCopies(room + 1, entry), List.of());
         files.write(largest);
         assertEquals(head + room * health, written(SNAPSHOT_NAME).length);
         files.write(larger);
@@ -179,12 +179,12 @@
         Succession succession = new Succession(
                 new Succession.Party() {
                     @Override
-                    public Books books() {
+                    public Snapshot books() {
                         return SnapshotGoldenTest.SNAPSHOT;
                     }
 
                     @Override
-                    public void inherit(Books books) {
+                    public void inherit(Snapshot books) {
                         throw new AssertionError("there is no other process");
                     }
 
--- a/src/test/java/caperrudder/net/LeavingClientTest.java
+++ b/src/test/java/caperrudder/net/LeavingClientTest.java
@@ -223,7 +223,7 @@
         node.loop
                 .submit(() -> {
                     c.close();
-                    node.send("v", "h0", 0);
+                    node.sendAttempt("v", "h0", 0);
                     return null;
                 })
                 .sync();
--- a/src/test/java/caperrudder/net/NodeTest.java
+++ b/src/test/java/caperrudder/net/NodeTest.java
@@ -16,19 +16,19 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.api.Actions;
 import caperrudder.api.AttemptResult;
-import caperrudder.api.Books;
-import caperrudder.api.Cluster;
-import caperrudder.api.Effect;
-import caperrudder.api.Events;
+import caperrudder.api.ClusterHealth;
+import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
-import caperrudder.api.ListKind;
+import caperrudder.api.HostListKind;
+import caperrudder.api.Idempotency;
 import caperrudder.api.Outcome;
+import caperrudder.api.PolicyActions;
+import caperrudder.api.PolicyEvents;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Scope;
 import caperrudder.api.Settings;
+import caperrudder.api.Snapshot;
 import caperrudder.net.Sockets.Client;
 import caperrudder.net.Sockets.Message;
 import caperrudder.net.Sockets.Registry;
@@ -590,7 +590,8 @@
     }
 
     private static RequestClass timed(double aimMs, double deadlineMs) {
-        return new RequestClass("c" + aimMs, Effect.REPEATABLE, Scope.ALL, 0, aimMs, deadlineMs, 1, 0, false);
+        return new RequestClass(
+                "c" + aimMs, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, aimMs, deadlineMs, 1, 0, false);
     }
 
     /** What is served late in a drain still has its wanted time before all ends, and that comes before the kill. */
@@ -615,7 +616,7 @@
     }
 
     /** A module that does only what a test says of a request. */
-    private record Scripted(BiConsumer<Double, Request> script, Consumer<AttemptResult> ends) implements Events {
+    private record Scripted(BiConsumer<Double, Request> script, Consumer<AttemptResult> ends) implements PolicyEvents {
         Scripted(BiConsumer<Double, Request> script) {
             this(script, r -> {});
         }
@@ -624,21 +625,21 @@
         public void start(double now, Settings settings) {}
 
         @Override
-        public void hosts(double now, ListKind kind, List<Host> hosts) {}
+        public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {}
 
         @Override
-        public void request(double now, Request r) {
+        public void requestReceived(double now, Request r) {
             script.accept(now, r);
         }
 
         @Override
-        public void requestWhole(double now, String id, double deadlineMs) {}
+        public void requestCompleted(double now, String id, double deadlineMs) {}
 
         @Override
-        public void requestSpent(double now, String id) {}
+        public void requestNotReplayable(double now, String id) {}
 
         @Override
-        public void streamStarted(double now, String id, int attempt) {}
+        public void responseStarted(double now, String id, int attempt) {}
 
         @Override
         public void attemptEnded(double now, AttemptResult r) {
@@ -646,35 +647,35 @@
         }
 
         @Override
-        public void clientLeft(double now, String id) {}
+        public void clientDisconnected(double now, String id) {}
 
         @Override
-        public void timer(double now, String token) {}
+        public void timerFired(double now, String token) {}
 
         @Override
-        public void probed(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
+        public void healthCheckEnded(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
 
         @Override
-        public void peerSaid(double now, int peer, byte[] data) {}
+        public void peerMessageReceived(double now, int peer, byte[] data) {}
 
         @Override
-        public void counted(double now, String counter, Outcome outcome, double total) {}
+        public void counterUpdated(double now, String counter, Outcome outcome, double total) {}
 
         @Override
-        public void inherited(double now, Books books) {}
+        public void restoreSnapshot(double now, Snapshot books) {}
 
         @Override
-        public Books books(double now) {
-            return new Books(now, 1, List.of(), List.of(), List.of());
+        public Snapshot takeSnapshot(double now) {
+            return new Snapshot(now, 1, List.of(), List.of(), List.of());
         }
 
         @Override
-        public Cluster cluster(double now) {
-            return new Cluster(0, 0);
+        public ClusterHealth clusterHealth(double now) {
+            return new ClusterHealth(0, 0);
         }
     }
 
-    private Node scripted(Function<Actions, Events> module) throws IOException {
+    private Node scripted(Function<PolicyActions, PolicyEvents> module) throws IOException {
         registry = kept(new Registry(list(1, true)));
         Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"), module);
         ends.push(node::stop);
@@ -697,10 +698,10 @@
         Node node = Sockets.node(
                 Sockets.config(registry.server.address(), "127.0.0.1:0")
                         .replace("\"servers\": []", "\"servers\": [" + entry("h0", host.address(), "ready") + "]"),
-                act -> new Scripted((now, r) -> act.send(r.id(), "h0", 0), r -> {
+                act -> new Scripted((now, r) -> act.sendAttempt(r.id(), "h0", 0), r -> {
                     ended.add(r);
-                    if (!r.closed()) {
-                        act.fail(r.id());
+                    if (!r.requestClosed()) {
+                        act.fail(r.requestId());
                     }
                 }));
         ends.push(node::stop);
@@ -708,7 +709,7 @@
         List<Integer> told = new ArrayList<>();
         for (String id : answers.keySet()) {
             assertNotNull(c.send(view(id, Sockets.PATIENCE_MS)).receive());
-            told.add(ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS).usedPct());
+            told.add(ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS).quotaUsedPercent());
         }
         assertEquals(List.of(87, 1, 121, 0, 0), told);
     }
@@ -720,7 +721,7 @@
             if (r.requestClass().equals("view")) {
                 throw new IllegalStateException("made up by the test");
             }
-            act.refuse(r.id(), 100);
+            act.reject(r.id(), 100);
         }));
         Client c = client(node);
         assertEquals(504, c.send(view("v", 300)).receive().status());
@@ -734,8 +735,8 @@
             if (r.requestClass().equals("view")) {
                 act.fail(r.id());
             }
-            act.refuse(r.id(), 100);
-            act.refuse(r.id(), 100);
+            act.reject(r.id(), 100);
+            act.reject(r.id(), 100);
         }));
         Client c = client(node);
         assertEquals(502, c.send(view("v", Sockets.PATIENCE_MS)).receive().status());
--- a/src/test/java/caperrudder/net/SnapshotGoldenTest.java
+++ b/src/test/java/caperrudder/net/SnapshotGoldenTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import caperrudder.GoldenFiles;
-import caperrudder.api.Books;
-import caperrudder.api.ClassBook;
-import caperrudder.api.CustomerBook;
-import caperrudder.api.HealthBook;
+import caperrudder.api.ClassSnapshot;
+import caperrudder.api.HealthSnapshot;
+import caperrudder.api.QuotaSnapshot;
+import caperrudder.api.Snapshot;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.List;
@@ -28,12 +28,12 @@
     private static final int CUSTOMERS_AT = 20; // count of customers, after version, time and attempts a host
 
     /** What the golden snapshot says. */
-    static final Books SNAPSHOT = new Books(
+    static final Snapshot SNAPSHOT = new Snapshot(
             1_764_684_000_123.25,
             7.5,
             List.of(
-                    new CustomerBook(5, "small", 1, 2, 11.5, 3.25, 10.75, 2.125, 77, 0.5, 0.0625, 1234.5, 9.75),
-                    new CustomerBook(
+                    new QuotaSnapshot(5, "small", 1, 2, 11.5, 3.25, 10.75, 2.125, 77, 0.5, 0.0625, 1234.5, 9.75),
+                    new QuotaSnapshot(
                             0xAB_1234_5678L,
                             "capped",
                             0,
@@ -47,17 +47,17 @@
                             1 / 3.0,
                             Double.NEGATIVE_INFINITY,
                             Math.PI),
-                    new CustomerBook(-1, "Zürich ☃", 65535, 65536, 1, 2, 3, 4, 5, 6, 7, 8, 9)),
+                    new QuotaSnapshot(-1, "Zürich ☃", 65535, 65536, 1, 2, 3, 4, 5, 6, 7, 8, 9)),
             List.of(
-                    new HealthBook("host-1", "", 1.5, 99.5, 0),
-                    new HealthBook("host-1", "order", 12, 100.25, 3),
-                    new HealthBook("host-2", "read", 1, 0, Integer.MAX_VALUE),
-                    new HealthBook("", "", Double.MIN_VALUE, -1, -1)),
+                    new HealthSnapshot("host-1", "", 1.5, 99.5, 0),
+                    new HealthSnapshot("host-1", "order", 12, 100.25, 3),
+                    new HealthSnapshot("host-2", "read", 1, 0, Integer.MAX_VALUE),
+                    new HealthSnapshot("", "", Double.MIN_VALUE, -1, -1)),
             List.of(
-                    new ClassBook("read", 0.25, 12.5, 10.125, 4000, 31.5, 0.75),
-                    new ClassBook("order", 0.75, 0.1, 0.2, 0, 0, 0)));
+                    new ClassSnapshot("read", 0.25, 12.5, 10.125, 4000, 31.5, 0.75),
+                    new ClassSnapshot("order", 0.75, 0.1, 0.2, 0, 0, 0)));
 
-    private static final Books EMPTY = new Books(0, 6, List.of(), List.of(), List.of());
+    private static final Snapshot EMPTY = new Snapshot(0, 6, List.of(), List.of(), List.of());
 
     /** The snapshot with the checksum that its bytes have to carry, computed apart from the program. */
     private static byte[] sealed(byte[] snapshot) {
--- a/src/test/java/caperrudder/net/Sockets.java
+++ b/src/test/java/caperrudder/net/Sockets.java
@@ -1,8 +1,8 @@
 package caperrudder.net;
 
 import caperrudder.Brain;
-import caperrudder.api.Actions;
-import caperrudder.api.Events;
+import caperrudder.api.PolicyActions;
+import caperrudder.api.PolicyEvents;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -237,7 +237,7 @@
         return node(config, Brain::new);
     }
 
-    static Node node(String config, Function<Actions, Events> module) throws IOException {
+    static Node node(String config, Function<PolicyActions, PolicyEvents> module) throws IOException {
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), module);
         node.start();
         return node;
--- a/src/test/java/caperrudder/net/SuccessionTest.java
+++ b/src/test/java/caperrudder/net/SuccessionTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.api.Books;
-import caperrudder.api.ClassBook;
-import caperrudder.api.CustomerBook;
-import caperrudder.api.HealthBook;
+import caperrudder.api.ClassSnapshot;
+import caperrudder.api.HealthSnapshot;
+import caperrudder.api.QuotaSnapshot;
+import caperrudder.api.Snapshot;
 import caperrudder.net.HandoverFiles.Claim;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -32,7 +32,7 @@
     private Path dir;
 
     private final Clock clock = new Clock();
-    private final BlockingQueue<Books> taken = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Snapshot> taken = new LinkedBlockingQueue<>();
     private final List<Succession> begun = new ArrayList<>();
     private volatile boolean beside;
     private Process other; // a process that lives
@@ -52,25 +52,25 @@
         other.destroyForcibly();
     }
 
-    private Books books(double at) {
-        return new Books(
+    private Snapshot books(double at) {
+        return new Snapshot(
                 at,
                 7,
-                List.of(new CustomerBook(5, "p", 1, 2, 1, 2, 3, 4, 5, 6, 7, 8, 9)),
-                List.of(new HealthBook("h", "", 2, 3, 4), new HealthBook("h", "c", 2, 3, 4)),
-                List.of(new ClassBook("c", 1, 2, 3, 4, 5, 6)));
+                List.of(new QuotaSnapshot(5, "p", 1, 2, 1, 2, 3, 4, 5, 6, 7, 8, 9)),
+                List.of(new HealthSnapshot("h", "", 2, 3, 4), new HealthSnapshot("h", "c", 2, 3, 4)),
+                List.of(new ClassSnapshot("c", 1, 2, 3, 4, 5, 6)));
     }
 
     private Succession succession() {
         Succession s = new Succession(
                 new Succession.Party() {
                     @Override
-                    public Books books() {
+                    public Snapshot books() {
                         return SuccessionTest.this.books(clock.now());
                     }
 
                     @Override
-                    public void inherit(Books books) {
+                    public void inherit(Snapshot books) {
                         taken.add(books);
                     }
 
@@ -87,7 +87,7 @@
 
     @Test
     void booksComeBackAsTheyWereAndTornOnesNotAtAll() throws Exception {
-        Books b = books(12.5);
+        Snapshot b = books(12.5);
         byte[] bytes = BooksFormat.write(b);
         assertEquals(b, BooksFormat.read(bytes));
         for (int length = 0; length < bytes.length; length++) {
@@ -136,7 +136,7 @@
         assertNotNull(s.left());
         s.serving();
         assertEquals(new Claim(ProcessHandle.current().pid(), true), files.claim());
-        Books later = books(clock.now());
+        Snapshot later = books(clock.now());
         files.write(later);
         assertEquals(later, taken.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         other.destroyForcibly().waitFor();
--- a/src/test/java/caperrudder/scale/StandInTest.java
+++ b/src/test/java/caperrudder/scale/StandInTest.java
@@ -42,7 +42,7 @@
         Host told = change.hosts().get(0);
         assertEquals(
                 List.of(e.id, HostState.DRAINING, 1234.0, 1.0, "m2"),
-                List.of(told.id(), told.state(), told.startedMs(), told.rating(), told.kind()));
+                List.of(told.id(), told.state(), told.startedMs(), told.weight(), told.kind()));
     }
 
     @ParameterizedTest
@@ -67,7 +67,7 @@
     void theMeterTellsTheLastFinishedSecondAndOneMore() {
         Settings s = FleetSettings.of(0, 1, "a", FleetSettings.Sharing.METER, 1);
         Tenants tenants = new Tenants(3, 1, 1, s.plans());
-        double rate = tenants.plan(1).rate();
+        double rate = tenants.plan(1).unitsPerSecond();
         tenants.uses(1, rate / 2, 10_500);
         assertEquals(1, tenants.usedPct(1, 10_900));
         assertEquals(51, tenants.usedPct(1, 11_100));
