--- a/src/main/java/caperrudder/net/Node.java
+++ b/src/main/java/caperrudder/net/Node.java
@@ -1,6 +1,5 @@
 package caperrudder.net;
 
-import caperrudder.Brain;
 import caperrudder.api.AttemptResult;
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.Host;
@@ -10,6 +9,7 @@
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.Request;
 import caperrudder.api.Snapshot;
+import caperrudder.policy.TrafficPolicy;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -86,7 +86,7 @@
     private boolean over; // the drain's time is up: nothing more is sent
 
     Node(NodeConfig config) {
-        this(config, Brain::new);
+        this(config, TrafficPolicy::new);
     }
 
     /** With a module of the caller's making. */
--- a/src/main/java/caperrudder/net/WarmUp.java
+++ b/src/main/java/caperrudder/net/WarmUp.java
@@ -1,6 +1,5 @@
 package caperrudder.net;
 
-import caperrudder.Brain;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
@@ -9,6 +8,7 @@
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
 import caperrudder.api.Sharing;
+import caperrudder.policy.TrafficPolicy;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -146,7 +146,7 @@
                     .sync();
         }
         for (int me = 0; me < 2; me++) {
-            nodes.add(new Node(of(me), Brain::new, TRANSPORT, group));
+            nodes.add(new Node(of(me), TrafficPolicy::new, TRANSPORT, group));
         }
         for (Node node : nodes) {
             int me = node.config.settings().gatewayIndex();
--- a/src/main/java/caperrudder/HostTable.java
+++ b/src/main/java/caperrudder/policy/EndpointTable.java
@@ -1,6 +1,5 @@
-package caperrudder;
+package caperrudder.policy;
 
-import caperrudder.State.Server;
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
@@ -16,15 +15,15 @@
  * The hosts of a gateway's list: plain data and look-ups, no decision. What a change costs follows what it changes,
  * not how many hosts there are; only a whole list, and its end, visit all.
  */
-final class HostTable {
+final class EndpointTable {
     private final boolean mixed;
-    private final RankedHosts all = new RankedHosts();
-    private final RankedHosts open = new RankedHosts();
-    private final Map<String, Map<Integer, RankedHosts>> places = new TreeMap<>(); // the open ones by zone and cell
-    private final Set<Server> unlisted = new LinkedHashSet<>();
-    private final Set<Server> unsettled = new LinkedHashSet<>();
+    private final RankedEndpoints all = new RankedEndpoints();
+    private final RankedEndpoints open = new RankedEndpoints();
+    private final Map<String, Map<Integer, RankedEndpoints>> places = new TreeMap<>(); // the open ones by zone and cell
+    private final Set<Endpoint> unlisted = new LinkedHashSet<>();
+    private final Set<Endpoint> unsettled = new LinkedHashSet<>();
     private int listed;
-    private List<Server> run = List.of(); // as last asked for
+    private List<Endpoint> run = List.of(); // as last asked for
     private Arc arc; // that it fills, or null
     private boolean runChanged;
 
@@ -36,7 +35,7 @@
     }
 
     /** With {@code mixed} keys the hosts stand evenly in the whole range of them, whatever their ids are like. */
-    HostTable(boolean mixed) {
+    EndpointTable(boolean mixed) {
         this.mixed = mixed;
     }
 
@@ -49,7 +48,7 @@
     }
 
     /** The host of this id, be it listed or not, or null. */
-    Server find(String id) {
+    Endpoint find(String id) {
         return all.find(key(id), id);
     }
 
@@ -60,11 +59,11 @@
     }
 
     /** Takes the last word told of a host. */
-    Server put(Host h) {
+    Endpoint put(Host h) {
         int key = key(h.id());
-        Server s = all.find(key, h.id());
+        Endpoint s = all.find(key, h.id());
         if (s == null) {
-            s = new Server(h);
+            s = new Endpoint(h);
             all.add(key, s);
         }
         if (s.counted && !DeduplicationScope.CELL.isSharedBy(s.info, h)) close(s); // it changes its zone or cell
@@ -79,7 +78,7 @@
         all.forEach(this::note);
     }
 
-    private void note(Server s) {
+    private void note(Endpoint s) {
         if (!s.listed) unlisted.add(s);
         else if (!unlisted.isEmpty()) unlisted.remove(s);
         if (s.open() == s.counted) return;
@@ -91,18 +90,18 @@
         int key = key(s.info.id());
         open.add(key, s);
         places.computeIfAbsent(s.info.zone(), z -> new TreeMap<>())
-                .computeIfAbsent(s.info.cell(), c -> new RankedHosts())
+                .computeIfAbsent(s.info.cell(), c -> new RankedEndpoints())
                 .add(key, s);
         runChanged |= withinRun(key, s.info.id());
     }
 
-    private void close(Server s) {
+    private void close(Endpoint s) {
         s.counted = false;
         int key = key(s.info.id());
         runChanged |= withinRun(key, s.info.id());
         open.remove(key, s);
-        Map<Integer, RankedHosts> zone = places.get(s.info.zone());
-        RankedHosts cell = zone.get(s.info.cell());
+        Map<Integer, RankedEndpoints> zone = places.get(s.info.zone());
+        RankedEndpoints cell = zone.get(s.info.cell());
         cell.remove(key, s);
         if (cell.size() == 0) zone.remove(s.info.cell());
         if (zone.isEmpty()) places.remove(s.info.zone());
@@ -118,7 +117,7 @@
                 : fromFirst || toLast;
     }
 
-    private int order(int key, String id, Server other) {
+    private int order(int key, String id, Endpoint other) {
         int byKey = Integer.compare(key, key(other.info.id()));
         return byKey != 0 ? byKey : id.compareTo(other.info.id());
     }
@@ -149,7 +148,7 @@
     }
 
     /** Hosts of which more is known than what the list says, for the module to add to and take from. */
-    Set<Server> unsettled() {
+    Set<Endpoint> unsettled() {
         return unsettled;
     }
 
@@ -157,7 +156,7 @@
      * The open hosts whose keys lie in {@code parts} of the {@code of} equal parts of their range from this one on,
      * counted round; where these are fewer than {@code least}, the next ones too; not to be changed.
      */
-    List<Server> arc(int part, int parts, int of, int least) {
+    List<Endpoint> arc(int part, int parts, int of, int least) {
         Arc wanted = new Arc(border(part, of), border(part + parts, of), least);
         if (!runChanged && wanted.equals(arc) && run.size() >= least) return run;
         arc = wanted;
@@ -172,48 +171,48 @@
     }
 
     /** The open hosts from this rank on in the order of their keys, counted round; not to be changed. */
-    List<Server> run(int rank, int count) {
+    List<Endpoint> run(int rank, int count) {
         arc = null;
         boolean same = !runChanged && count == run.size() && (count == 0 || run.get(0) == open.at(rank % open.size()));
         return same ? run : runOf(rank, count);
     }
 
-    private List<Server> runOf(int rank, int count) {
+    private List<Endpoint> runOf(int rank, int count) {
         run = List.copyOf(round(List.of(open), rank, count));
         runChanged = false;
         return run;
     }
 
     /** Of some hosts the one that started last, or null. */
-    static Server lastStarted(List<Server> some) {
-        Server last = null;
-        for (Server s : some) {
+    static Endpoint lastStarted(List<Endpoint> some) {
+        Endpoint last = null;
+        for (Endpoint s : some) {
             if (last == null || s.coldAt > last.coldAt) last = s;
         }
         return last;
     }
 
     /** The open hosts that drop repeats together with this one; of all hosts, it may be null. */
-    Collection<RankedHosts> open(Host with, DeduplicationScope scope) {
+    Collection<RankedEndpoints> open(Host with, DeduplicationScope scope) {
         if (scope == DeduplicationScope.ALL) return List.of(open);
-        Map<Integer, RankedHosts> zone = places.getOrDefault(with.zone(), Map.of());
+        Map<Integer, RankedEndpoints> zone = places.getOrDefault(with.zone(), Map.of());
         if (scope == DeduplicationScope.ZONE) return zone.values();
-        RankedHosts cell = zone.get(with.cell());
+        RankedEndpoints cell = zone.get(with.cell());
         return cell == null ? List.of() : List.of(cell);
     }
 
     /** So many hosts of these from this rank in all of them on, counted round. */
-    static List<Server> round(Collection<RankedHosts> parts, int rank, int count) {
-        List<Server> some = new ArrayList<>(count);
+    static List<Endpoint> round(Collection<RankedEndpoints> parts, int rank, int count) {
+        List<Endpoint> some = new ArrayList<>(count);
         copy(parts, rank, count, some);
         copy(parts, 0, count - some.size(), some);
         return some;
     }
 
-    private static void copy(Collection<RankedHosts> parts, int rank, int count, List<Server> to) {
+    private static void copy(Collection<RankedEndpoints> parts, int rank, int count, List<Endpoint> to) {
         int skip = rank;
         int end = to.size() + count;
-        for (RankedHosts part : parts) {
+        for (RankedEndpoints part : parts) {
             if (to.size() == end) return;
             if (skip < part.size()) part.copy(skip, end - to.size(), to);
             skip = Math.max(0, skip - part.size());
--- a/src/main/java/caperrudder/PeerOutbox.java
+++ b/src/main/java/caperrudder/policy/GossipOutbox.java
@@ -1,7 +1,5 @@
-package caperrudder;
+package caperrudder.policy;
 
-import caperrudder.State.Customer;
-import caperrudder.State.Peer;
 import caperrudder.api.PolicyActions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,7 +11,7 @@
  * Counts, batches and sends the messages to other gateways within what these take in, and tells which messages of
  * theirs are new. What a message says of a customer is another's to decide.
  */
-final class PeerOutbox {
+final class GossipOutbox {
     private static final double INTAKE_SHARE = 0.8; // of a gateway's intake that is used: bursts fit in the rest
     private static final double BURST_MS = 150; // time's worth of messages that may leave at once
     private static final double LONGEST_GAP_MS = 50; // between messages to a peer, where it bounds them
@@ -22,18 +20,18 @@
 
     /** Writes the entry of one customer in a message. */
     interface Entries {
-        Tell.Entry of(Peer peer, Customer customer, boolean answers);
+        QuotaMessage.Entry of(PeerState peer, CustomerQuota customer, boolean answers);
     }
 
     private final int gateways;
     private final PolicyActions actions;
     private final double perMs;
     private final int epoch;
-    private final ArrayDeque<Peer> waiting = new ArrayDeque<>();
+    private final ArrayDeque<PeerState> waiting = new ArrayDeque<>();
     private double allowance;
     private double refilledAt;
 
-    PeerOutbox(double now, int gateways, double intakePerSecond, PolicyActions actions) {
+    GossipOutbox(double now, int gateways, double intakePerSecond, PolicyActions actions) {
         this.gateways = gateways;
         this.actions = actions;
         this.perMs = Math.max(1, intakePerSecond) * INTAKE_SHARE / 1000;
@@ -47,7 +45,7 @@
     }
 
     /** A message to a peer is due, on a customer where one is named. */
-    void queue(Peer peer, Customer customer) {
+    void queue(PeerState peer, CustomerQuota customer) {
         if (customer != null) peer.tells.add(customer);
         if (!peer.waiting) waiting.addLast(peer);
         peer.waiting = true;
@@ -58,7 +56,7 @@
         allowance = Math.min(Math.max(1, perMs * BURST_MS), allowance + (now - refilledAt) * perMs / 2);
         refilledAt = now;
         double gap = Math.min(LONGEST_GAP_MS, (gateways - 1) / perMs);
-        for (Peer peer : new ArrayList<>(waiting)) {
+        for (PeerState peer : new ArrayList<>(waiting)) {
             if (now - peer.toldAt < gap || peer.answers.isEmpty() && allowance < 1) continue;
             if (peer.answers.isEmpty()) allowance -= 1;
             send(now, peer, entries);
@@ -68,24 +66,26 @@
         }
     }
 
-    private void send(double now, Peer peer, Entries entries) {
-        List<Tell.Entry> written = new ArrayList<>();
-        int room = (MESSAGE_BYTES - Tell.HEAD_BYTES) / Tell.ENTRY_BYTES;
+    private void send(double now, PeerState peer, Entries entries) {
+        List<QuotaMessage.Entry> written = new ArrayList<>();
+        int room = (MESSAGE_BYTES - QuotaMessage.HEAD_BYTES) / QuotaMessage.ENTRY_BYTES;
         peer.serial++;
-        for (LinkedHashSet<Customer> due : List.of(peer.answers, peer.tells)) {
-            for (Iterator<Customer> it = due.iterator(); it.hasNext() && written.size() < room; it.remove()) {
+        for (LinkedHashSet<CustomerQuota> due : List.of(peer.answers, peer.tells)) {
+            for (Iterator<CustomerQuota> it = due.iterator(); it.hasNext() && written.size() < room; it.remove()) {
                 written.add(entries.of(peer, it.next(), due == peer.answers));
             }
         }
         peer.toldAt = now;
-        actions.sendToPeer(peer.number, new Tell(epoch, peer.epoch, peer.serial, peer.heardSerial, written).bytes());
+        actions.sendToPeer(
+                peer.number, new QuotaMessage(epoch, peer.epoch, peer.serial, peer.heardSerial, written).bytes());
     }
 
     /** Notes a message of a peer; false for one overtaken on the way, told twice or of another life. */
-    boolean takesIn(double now, Peer peer, Tell message) {
+    boolean takesIn(double now, PeerState peer, QuotaMessage message) {
         boolean sameLife = peer.met && message.epoch() == peer.epoch;
         // Lives are compared by difference: their field runs over every 50 days of Unix time.
-        boolean late = sameLife ? !Tell.after(message.serial(), peer.heardSerial) : message.epoch() - peer.epoch < 0;
+        boolean late =
+                sameLife ? !QuotaMessage.after(message.serial(), peer.heardSerial) : message.epoch() - peer.epoch < 0;
         // A life that has yet to begin would make all that its sender says from now on seem late.
         boolean unborn = message.epoch() - (int) (long) now > CLOCKS_APART_MS;
         if (peer.met && late || unborn) return false;
--- a/src/main/java/caperrudder/LateShare.java
+++ b/src/main/java/caperrudder/policy/OverdueShare.java
@@ -1,7 +1,7 @@
-package caperrudder;
+package caperrudder.policy;
 
 /** The share of the requests let in lately that were answered after their aim, or given up before they were sent. */
-final class LateShare {
+final class OverdueShare {
     private static final double GAIN = 0.02; // weight of one request
 
     private double share;
--- a/src/main/java/caperrudder/Tell.java
+++ b/src/main/java/caperrudder/policy/QuotaMessage.java
@@ -1,7 +1,5 @@
-package caperrudder;
+package caperrudder.policy;
 
-import caperrudder.State.Customer;
-import caperrudder.State.Member;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +10,7 @@
  * receiver, its own count of messages to the receiver and the last one it had from there; then entries on
  * customers. Translation only: amounts are fixed point, held within what their field can say.
  */
-record Tell(int epoch, int yourEpoch, int serial, int yourSerial, List<Entry> entries) {
+record QuotaMessage(int epoch, int yourEpoch, int serial, int yourSerial, List<Entry> entries) {
     static final int HEAD_BYTES = 16;
     private static final int CHECKED_FROM = 3;
     static final int ENTRY_BYTES = 27; // the longest entry
@@ -48,7 +46,7 @@
             int open,
             double given) {
         /** From a gateway of the customer's set. */
-        static Entry asking(Customer c, boolean reply, boolean view, double want) {
+        static Entry asking(CustomerQuota c, boolean reply, boolean view, double want) {
             boolean ceiling = c.plan.ceilingUnitsPerSecond() > 0 && c.ceiling < want;
             return new Entry(
                     false,
@@ -69,7 +67,7 @@
         }
 
         /** To a gateway of the customer's set. */
-        static Entry answering(Customer c, Member to, boolean unsure, double othersDemand) {
+        static Entry answering(CustomerQuota c, ReplicaState to, boolean unsure, double othersDemand) {
             return new Entry(
                     true,
                     false,
@@ -166,7 +164,7 @@
     }
 
     /** Null where the message is short, damaged or of another version. */
-    static Tell read(byte[] data) {
+    static QuotaMessage read(byte[] data) {
         if (data.length < HEAD_BYTES || data[0] != VERSION) return null;
         ByteBuffer b = ByteBuffer.wrap(data, 1, data.length - 1);
         if (b.getShort() != check(data)) return null;
@@ -178,7 +176,7 @@
             int count = b.get() & 0xff;
             List<Entry> entries = new ArrayList<>(count);
             while (entries.size() < count) entries.add(Entry.get(b));
-            return b.hasRemaining() ? null : new Tell(epoch, yourEpoch, serial, yourSerial, entries);
+            return b.hasRemaining() ? null : new QuotaMessage(epoch, yourEpoch, serial, yourSerial, entries);
         } catch (java.nio.BufferUnderflowException e) {
             return null;
         }
--- a/src/main/java/caperrudder/RankedHosts.java
+++ b/src/main/java/caperrudder/policy/RankedEndpoints.java
@@ -1,6 +1,5 @@
-package caperrudder;
+package caperrudder.policy;
 
-import caperrudder.State.Server;
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
@@ -10,7 +9,7 @@
  * so that one more or less moves the hosts of one block, and a host is found by its id or by its rank in the
  * logarithm of their number. Its keys stand in arrays of numbers, which costs some 12 bytes a host.
  */
-final class RankedHosts {
+final class RankedEndpoints {
     private static final int BLOCK = 256;
 
     private Block[] blocks = {new Block(4)};
@@ -22,19 +21,19 @@
 
     private static final class Block {
         private int[] keys;
-        private Server[] hosts;
+        private Endpoint[] hosts;
         private int size;
 
         Block(int room) {
             keys = new int[room];
-            hosts = new Server[room];
+            hosts = new Endpoint[room];
         }
 
         private boolean before(int i, int key, String id) {
             return keys[i] < key || keys[i] == key && hosts[i].info.id().compareTo(id) < 0;
         }
 
-        private void insert(int i, int key, Server s) {
+        private void insert(int i, int key, Endpoint s) {
             if (size == keys.length) {
                 int room = Math.min(BLOCK, 2 * size);
                 keys = Arrays.copyOf(keys, room);
@@ -72,14 +71,14 @@
     }
 
     /** The host of this id, or null. */
-    Server find(int key, String id) {
+    Endpoint find(int key, String id) {
         Block b = blocks[blockOf(key, id)];
         int i = placeIn(b, key, id);
         return i < b.size && b.keys[i] == key && b.hosts[i].info.id().equals(id) ? b.hosts[i] : null;
     }
 
     /** Takes in a host whose id is not in the list yet. */
-    void add(int key, Server s) {
+    void add(int key, Endpoint s) {
         int at = blockOf(key, s.info.id());
         Block b = blocks[at];
         b.insert(placeIn(b, key, s.info.id()), key, s);
@@ -101,7 +100,7 @@
     }
 
     /** Drops the host of this one's id, if it is in the list. */
-    void remove(int key, Server s) {
+    void remove(int key, Endpoint s) {
         int at = blockOf(key, s.info.id());
         Block b = blocks[at];
         int i = placeIn(b, key, s.info.id());
@@ -121,14 +120,14 @@
         return before[at] + placeIn(blocks[at], key, "");
     }
 
-    Server at(int rank) {
+    Endpoint at(int rank) {
         int at = blockAt(rank);
         touched++;
         return blocks[at].hosts[rank - before[at]];
     }
 
     /** Adds the hosts of this rank and the following ones to a list, {@code count} in all, or up to the last. */
-    void copy(int rank, int count, List<Server> to) {
+    void copy(int rank, int count, List<Endpoint> to) {
         int at = blockAt(rank);
         int left = count;
         for (int i = rank - before[at]; left > 0 && at < used; at++, i = 0) {
@@ -138,7 +137,7 @@
         touched += count - left;
     }
 
-    void forEach(Consumer<Server> action) {
+    void forEach(Consumer<Endpoint> action) {
         for (int at = 0; at < used; at++) {
             for (int i = 0; i < blocks[at].size; i++) action.accept(blocks[at].hosts[i]);
         }
--- a/src/main/java/caperrudder/AnswerTimes.java
+++ b/src/main/java/caperrudder/policy/ResponseTimeHistogram.java
@@ -1,7 +1,7 @@
-package caperrudder;
+package caperrudder.policy;
 
 /** How long requests of a class take, from their arrival, as multiples of what their size makes expected. */
-final class AnswerTimes {
+final class ResponseTimeHistogram {
     private static final int BINS = 16;
     private static final double FIRST_EDGE = 0.25;
     private static final double EDGE_RATIO = 1.25;
--- a/src/main/java/caperrudder/SnapshotTransfer.java
+++ b/src/main/java/caperrudder/policy/SnapshotTransfer.java
@@ -1,9 +1,5 @@
-package caperrudder;
+package caperrudder.policy;
 
-import caperrudder.State.ClassState;
-import caperrudder.State.Customer;
-import caperrudder.State.Health;
-import caperrudder.State.Server;
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.QuotaSnapshot;
@@ -18,24 +14,24 @@
 final class SnapshotTransfer {
     private static final int CUSTOMERS_MAX = 4000; // those used last
 
-    private final Map<Long, Customer> customers;
-    private final HostTable hosts;
-    private final Map<String, ClassState> classes;
+    private final Map<Long, CustomerQuota> customers;
+    private final EndpointTable hosts;
+    private final Map<String, TrafficClass> classes;
 
-    SnapshotTransfer(Map<Long, Customer> customers, HostTable hosts, Map<String, ClassState> classes) {
+    SnapshotTransfer(Map<Long, CustomerQuota> customers, EndpointTable hosts, Map<String, TrafficClass> classes) {
         this.customers = customers;
         this.hosts = hosts;
         this.classes = classes;
     }
 
     /** {@code refill} brings a customer's stores up to now. */
-    Snapshot write(double now, double attemptsPerHost, Consumer<Customer> refill) {
+    Snapshot write(double now, double attemptsPerHost, Consumer<CustomerQuota> refill) {
         List<HealthSnapshot> health = new ArrayList<>();
         hosts.unsettled().stream().filter(s -> s.listed).forEach(s -> s.writeHealth(health));
         return new Snapshot(now, attemptsPerHost, writeCustomers(refill), health, writeClasses());
     }
 
-    private List<QuotaSnapshot> writeCustomers(Consumer<Customer> refill) {
+    private List<QuotaSnapshot> writeCustomers(Consumer<CustomerQuota> refill) {
         return customers.values().stream()
                 .sorted(Comparator.comparingDouble(c -> -c.touchedAt))
                 .limit(CUSTOMERS_MAX)
@@ -65,7 +61,7 @@
     }
 
     /** What both processes count from a full store is in the other's snapshot alone, so what was spent here goes off. */
-    static void readCustomer(double now, Customer c, QuotaSnapshot b, double spent) {
+    static void readCustomer(double now, CustomerQuota c, QuotaSnapshot b, double spent) {
         c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), b.sharedLevel()) - spent);
         c.tokens = Math.min(c.plan.burstUnits(), b.localTokens()) - spent;
         c.store = Math.max(0, Math.min(c.plan.burstUnits(), b.meteredLevel()) - spent);
@@ -81,10 +77,10 @@
 
     void readHealth(double now, List<HealthSnapshot> health) {
         for (HealthSnapshot b : health) {
-            Server s = hosts.find(b.host());
+            Endpoint s = hosts.find(b.host());
             if (s == null || !b.requestClass().isEmpty() && !classes.containsKey(b.requestClass())) continue;
-            Health h = s.of(b.requestClass());
-            h.slow = Math.max(0, Math.min(Health.SLOWEST, b.latencyPenalty()));
+            OutlierScore h = s.of(b.requestClass());
+            h.slow = Math.max(0, Math.min(OutlierScore.SLOWEST, b.latencyPenalty()));
             h.at = Math.min(now, b.updatedAtMs());
             h.failures = b.failuresSinceSuccess();
             hosts.unsettled().add(s);
@@ -96,7 +92,7 @@
         List<String> named = books.stream().map(ClassSnapshot::name).toList();
         if (!named.equals(List.copyOf(classes.keySet()))) return;
         for (ClassSnapshot b : books) {
-            ClassState c = classes.get(b.name());
+            TrafficClass c = classes.get(b.name());
             c.weight = b.weight();
             c.latencyPerUnit = b.latencyPerUnit();
             c.base = b.baseLatencyPerUnit();
--- a/src/main/java/caperrudder/Brain.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -1,13 +1,5 @@
-package caperrudder;
-
-import caperrudder.State.Ask;
-import caperrudder.State.Attempt;
-import caperrudder.State.ClassState;
-import caperrudder.State.Customer;
-import caperrudder.State.Health;
-import caperrudder.State.Member;
-import caperrudder.State.Peer;
-import caperrudder.State.Server;
+package caperrudder.policy;
+
 import caperrudder.api.AttemptResult;
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.DeduplicationScope;
@@ -38,7 +30,7 @@
  * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
  * Its interface (events, actions, settings) is Gateway.java, beside this file.
  */
-public final class Brain implements PolicyEvents {
+public final class TrafficPolicy implements PolicyEvents {
     // Housekeeping
     private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
     private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
@@ -123,21 +115,21 @@
     private static final double UNSENT_SHARE = 0.4; // of its time: then what never left is decided
 
     private final PolicyActions act;
-    private final Map<String, ClassState> classes = new LinkedHashMap<>();
+    private final Map<String, TrafficClass> classes = new LinkedHashMap<>();
     private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
     private final Map<Integer, AdmissionOdds> firstOdds = new HashMap<>();
     private final Map<Integer, AdmissionOdds> retryOdds = new HashMap<>();
-    private final Map<Long, Customer> customers = new LinkedHashMap<>();
-    private final Map<String, Ask> asks = new LinkedHashMap<>();
-    private final LinkedHashSet<Ask> questions = new LinkedHashSet<>();
-    private final LinkedHashSet<Server> watched = new LinkedHashSet<>();
-    HostTable table;
-    List<Server> homes = List.of();
-    private Server coldest; // of the homes: the one that started last
-    private Peer[] peers = new Peer[0];
+    private final Map<Long, CustomerQuota> customers = new LinkedHashMap<>();
+    private final Map<String, PendingRequest> asks = new LinkedHashMap<>();
+    private final LinkedHashSet<PendingRequest> questions = new LinkedHashSet<>();
+    private final LinkedHashSet<Endpoint> watched = new LinkedHashSet<>();
+    EndpointTable table;
+    List<Endpoint> homes = List.of();
+    private Endpoint coldest; // of the homes: the one that started last
+    private PeerState[] peers = new PeerState[0];
     private Settings set;
     private Random random;
-    private PeerOutbox outbox;
+    private GossipOutbox outbox;
     private double startedAt, beatAt, stalled, boundAt, sweptAt, delayAt, donateAt, surveyedAt;
     private double donateGap = WEIGHT_GAP_MS;
     private boolean waited;
@@ -146,11 +138,11 @@
     double capacity;
     private double lost, turn; // lost: what cold and bad hosts can't do of it, as last counted
     private double crowd; // requests that a warm host holds on the mean of all reports
-    private final LateShare lateness = new LateShare();
+    private final OverdueShare lateness = new OverdueShare();
     private double retryTokens = RETRY_MAX / 2;
     private double latencySum, baseSum, aimShareSum;
 
-    public Brain(PolicyActions act) {
+    public TrafficPolicy(PolicyActions act) {
         this.act = act;
     }
 
@@ -159,15 +151,15 @@
         set = settings;
         random = new Random(settings.seed());
         startedAt = now;
-        peers = new Peer[Math.max(1, settings.gatewayCount())];
-        Arrays.setAll(peers, Peer::new);
-        outbox = new PeerOutbox(now, peers.length, settings.sharing().peerMessagesPerSecond(), act);
-        table = new HostTable(peers.length > STEADY);
+        peers = new PeerState[Math.max(1, settings.gatewayCount())];
+        Arrays.setAll(peers, PeerState::new);
+        outbox = new GossipOutbox(now, peers.length, settings.sharing().peerMessagesPerSecond(), act);
+        table = new EndpointTable(peers.length > STEADY);
         double worth = settings.classes().stream()
                 .mapToDouble(c -> Math.max(WEIGHT_MIN, c.priorityWeight()))
                 .sum();
         for (RequestClass c : settings.classes()) {
-            ClassState state = new ClassState(c);
+            TrafficClass state = new TrafficClass(c);
             state.weight = Math.max(WEIGHT_MIN, c.priorityWeight()) / worth;
             state.latencyPerUnit = state.base =
                     c.latencyObjectiveMs() * FIRST_GUESS / settings.sharing().maxUnits();
@@ -186,7 +178,7 @@
         if (kind == HostListKind.FAILED) return;
         if (kind != HostListKind.CHANGES) table.beginList();
         for (Host h : hosts) {
-            Server s = table.put(h);
+            Endpoint s = table.put(h);
             if (h.startedMs() > 0 && h.startedMs() > s.coldAt) {
                 s.coldAt = h.startedMs();
                 s.turns = random.nextDouble(); // or all gateways' first ones would come together
@@ -204,12 +196,12 @@
 
     @Override
     public void requestReceived(double now, Request r) {
-        ClassState cls = classes.get(r.requestClass());
+        TrafficClass cls = classes.get(r.requestClass());
         if (cls == null) act.reject(r.id(), 0); // a class that the settings do not name cannot be judged
         if (cls == null) return;
         Integer plan = planNumbers.get(r.plan());
-        Customer c = plan == null ? null : customer(now, r.customer(), plan, r.firstReplica(), r.replicaCount());
-        Ask ask = new Ask(r, cls, c);
+        CustomerQuota c = plan == null ? null : customer(now, r.customer(), plan, r.firstReplica(), r.replicaCount());
+        PendingRequest ask = new PendingRequest(r, cls, c);
         asks.put(r.id(), ask);
         // A stall of ours has used up its time: it is told so at once, before it costs others theirs. It
         // also covers a crowd at a slow start, and could hurt where what was read is younger than the stall.
@@ -228,10 +220,10 @@
         post(now);
     }
 
-    private void letIn(double now, Ask ask) {
-        ClassState cls = ask.cls;
+    private void letIn(double now, PendingRequest ask) {
+        TrafficClass cls = ask.cls;
         ask.admitted = true;
-        Customer c = ask.customer;
+        CustomerQuota c = ask.customer;
         if (c != null) noteOpen(now, c, ask.work());
         if (c != null) charge(c, ask.request.units(), ask.request.units());
         if (cls.queue.isEmpty()) cls.turn = Math.max(cls.turn, turn);
@@ -246,7 +238,7 @@
      * Where the meter alone tells of others, a gateway that lets in one after another counts on many that do
      * the same: the next one comes no sooner than if some of the set in turn kept the limit in use.
      */
-    private void noteOpen(double now, Customer c, double work) {
+    private void noteOpen(double now, CustomerQuota c, double work) {
         c.openPeak = Math.max(c.openPeak, ++c.open);
         boolean alone = c.spread == 1 || c.plan.concurrencyLimit() <= 0 || c.plan.unitsPerSecond() > 0 || !metered();
         c.openTurnMs = alone ? 0 : c.spread * work / c.plan.concurrencyLimit();
@@ -255,7 +247,7 @@
 
     @Override
     public void requestCompleted(double now, String id, double deadlineMs) {
-        Ask ask = asks.get(id);
+        PendingRequest ask = asks.get(id);
         if (ask == null || !ask.arriving) return;
         ask.arriving = false;
         ask.arrived = now;
@@ -265,14 +257,14 @@
 
     @Override
     public void requestNotReplayable(double now, String id) {
-        Ask ask = asks.get(id);
+        PendingRequest ask = asks.get(id);
         if (ask != null) ask.spent = true;
     }
 
     /** The host's work is done once its answer begins; what is left is the client's pace. */
     @Override
     public void responseStarted(double now, String id, int attempt) {
-        Ask ask = asks.get(id);
+        PendingRequest ask = asks.get(id);
         if (ask == null) return;
         ask.streaming = true;
         if (attempt >= 0 && attempt < ask.attempts.size()) vacate(ask.attempts.get(attempt));
@@ -281,7 +273,7 @@
 
     @Override
     public void attemptEnded(double now, AttemptResult r) {
-        Ask ask = asks.get(r.requestId());
+        PendingRequest ask = asks.get(r.requestId());
         if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
         Attempt a = ask.attempts.get(r.attempt());
         if (!a.out) return;
@@ -302,7 +294,7 @@
 
     @Override
     public void clientDisconnected(double now, String id) {
-        Ask ask = asks.get(id);
+        PendingRequest ask = asks.get(id);
         if (ask == null) return;
         close(ask);
         for (Attempt a : ask.attempts) {
@@ -363,7 +355,7 @@
     private void inherit(double now, double at, QuotaSnapshot b) {
         boolean known = customers.containsKey(b.customer());
         Integer plan = planNumbers.get(b.plan());
-        Customer c = plan == null ? null : customer(now, b.customer(), plan, b.firstReplica(), b.replicaCount());
+        CustomerQuota c = plan == null ? null : customer(now, b.customer(), plan, b.firstReplica(), b.replicaCount());
         if (c == null || c.planNumber != plan) return;
         if (known && c.inherited > State.NEVER) {
             charge(c, Math.max(0, b.usedUnits() - c.inherited), 0);
@@ -387,14 +379,14 @@
      * A customer's books; null where there is no room for new ones. The plan and the set that came first
      * stand as long as it is remembered: who claims others gets no fresh stores and moves no keeper.
      */
-    private Customer customer(double now, long id, int plan, int first, int spread) {
-        Customer c = customers.get(id);
+    private CustomerQuota customer(double now, long id, int plan, int first, int spread) {
+        CustomerQuota c = customers.get(id);
         if (c == null && customers.size() >= CUSTOMERS_MAX) return null;
         if (c == null) {
             Plan p = set.plans().get(plan);
             int wide = Math.max(1, Math.min(spread, peers.length));
             int[] keepers = State.ranked(id, first, wide, peers.length, KEEPERS);
-            c = new Customer(id, plan, p, first, wide, keepers, now);
+            c = new CustomerQuota(id, plan, p, first, wide, keepers, now);
             c.level = c.store = p.burstUnits();
             // As full as it ever is; by the meter no more than its part, or all first tries would be let in.
             c.tokens = metered() ? p.burstUnits() / c.spread : bucket(p, 1.0 / c.spread);
@@ -409,16 +401,16 @@
     }
 
     /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
-    private double ceilingShare(Customer c) {
+    private double ceilingShare(CustomerQuota c) {
         if (c.spread == 1) return 1;
         return (c.keepers[0] == set.gatewayIndex() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
     }
 
-    private double ceilingHold(Customer c) {
+    private double ceilingHold(CustomerQuota c) {
         return c.plan.ceilingBurstUnits() * ceilingShare(c);
     }
 
-    private void touch(double now, Customer c) {
+    private void touch(double now, CustomerQuota c) {
         double s = (now - c.touchedAt) / 1000;
         if (s <= 0) return;
         double fade = Math.exp(-(now - c.touchedAt) / DEMAND_MS);
@@ -450,7 +442,7 @@
     }
 
     /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
-    private double part(double now, Customer c) {
+    private double part(double now, CustomerQuota c) {
         if (c.spread == 1) return 1;
         if (!set.limits().peerMessages()) return now - c.meterAt < METER_KEPT_MS ? c.meterPart : 1.0 / c.spread;
         if (now - c.newsAt > RELAX_MS && keeper(now, c, 0) != set.gatewayIndex()) return 1.0 / c.spread;
@@ -459,7 +451,7 @@
     }
 
     /** The gateway that decides on a customer, from its keeper {@code stage} on; -1 where none can be had. */
-    private int keeper(double now, Customer c, int stage) {
+    private int keeper(double now, CustomerQuota c, int stage) {
         for (int i = stage; i < c.keepers.length; i++) {
             int k = c.keepers[i];
             boolean last = i == c.keepers.length - 1;
@@ -469,12 +461,12 @@
     }
 
     /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
-    private boolean unsure(double now, Customer c) {
+    private boolean unsure(double now, CustomerQuota c) {
         return !c.informed && (now - startedAt) / 1000 * c.plan.unitsPerSecond() < c.plan.burstUnits();
     }
 
-    private Verdict judge(double now, Ask ask) {
-        Customer c = ask.customer;
+    private Verdict judge(double now, PendingRequest ask) {
+        CustomerQuota c = ask.customer;
         double units = ask.request.units();
         c.demand += units / DEMAND_MS * 1000;
         Plan p = c.plan;
@@ -498,7 +490,7 @@
     }
 
     /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
-    private double reserve(double now, Customer c) {
+    private double reserve(double now, CustomerQuota c) {
         double cost = c.plan.overQuotaCost() - c.plan.overQuotaValue();
         double rate = c.others + WARY * c.plan.unitsPerSecond();
         return rate * (now - c.newsAt + LAG_MS) / 1000 * 2 * cost / (1 + cost);
@@ -509,7 +501,7 @@
      * the bucket is less than a request: if all waited for fresh word, all would refuse one whose store is
      * full. So what others use is held against it only while the last figure is fresh and over the rate.
      */
-    private static boolean meterAdmits(double now, Customer c, double units) {
+    private static boolean meterAdmits(double now, CustomerQuota c, double units) {
         double age = now - c.meterAt;
         if (age < FRESH_MS && c.meterTotal > c.plan.unitsPerSecond()) {
             return c.store - c.meterOthers * (age + METER_LAG_MS) / 1000 >= units;
@@ -518,8 +510,8 @@
     }
 
     /** Whether a try is worth its odds of being beyond the quota, which the meter alone tells of. */
-    private boolean oddsAdmit(double now, Ask ask) {
-        Customer c = ask.customer;
+    private boolean oddsAdmit(double now, PendingRequest ask) {
+        CustomerQuota c = ask.customer;
         RequestClass spec = ask.cls.spec;
         double inTime = ask.cls.times.shareWithin(spec.latencyObjectiveMs() / Math.max(1, ask.work()));
         double useful = inTime + (1 - inTime) * spec.lateValue();
@@ -528,14 +520,14 @@
     }
 
     /** Where clients mark a further try, one has been refused already: its odds are others. */
-    private AdmissionOdds odds(Ask ask) {
+    private AdmissionOdds odds(PendingRequest ask) {
         Map<Integer, AdmissionOdds> ofPlans = ask.request.clientRetry() ? retryOdds : firstOdds;
         return ofPlans.computeIfAbsent(
                 ask.customer.planNumber,
                 p -> new AdmissionOdds(ask.customer.plan, set.sharing().meterPeriodMs()));
     }
 
-    private boolean openAdmits(double now, Customer c) {
+    private boolean openAdmits(double now, CustomerQuota c) {
         int limit = c.plan.concurrencyLimit();
         boolean fresh = c.spread == 1
                 || (set.limits().peerMessages()
@@ -547,7 +539,7 @@
     }
 
     /** When the store has filled enough, or a place may be had; every refusal tells a time to come back. */
-    private static double refillMs(double now, Customer c, double units) {
+    private static double refillMs(double now, CustomerQuota c, double units) {
         return c.plan.unitsPerSecond() > 0 ? 1000 * (units - c.level) / c.plan.unitsPerSecond() : c.openNextAt - now;
     }
 
@@ -557,7 +549,7 @@
     }
 
     /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
-    private void charge(Customer c, double units, double ceilingUnits) {
+    private void charge(CustomerQuota c, double units, double ceilingUnits) {
         c.tokens = Math.max(c.tokens - units, -c.plan.burstUnits() / c.spread);
         c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), c.level - units));
         c.store = Math.max(0, Math.min(c.plan.burstUnits(), c.store - units));
@@ -567,8 +559,8 @@
         c.ceiling -= ceilingUnits;
     }
 
-    private void meter(double now, Ask ask, int usedPct) {
-        Customer c = ask.customer;
+    private void meter(double now, PendingRequest ask, int usedPct) {
+        CustomerQuota c = ask.customer;
         if (usedPct <= 0 || !metered()) return;
         c.meterUse = (usedPct - 1) / 100.0;
         if (odds(ask).isUnknown(now - c.meterAt)) odds(ask).learn(now, ask.request.units(), c.meterUse);
@@ -593,8 +585,8 @@
     }
 
     /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
-    private void question(double now, Ask ask, int stage) {
-        Customer c = ask.customer;
+    private void question(double now, PendingRequest ask, int stage) {
+        CustomerQuota c = ask.customer;
         int keeper = stage < c.keepers.length ? keeper(now, c, stage) : -1;
         if (keeper < 0 || keeper == set.gatewayIndex() || now + ANSWER_MS >= ask.deadline - DEADLINE_MS) {
             c.pending.remove(ask);
@@ -613,18 +605,19 @@
         outbox.queue(peers[keeper], c);
     }
 
-    private void decide(double now, Ask ask, boolean in) {
+    private void decide(double now, PendingRequest ask, boolean in) {
         if (in) letIn(now, ask);
         if (in) return;
         close(ask);
-        Customer c = ask.customer;
+        CustomerQuota c = ask.customer;
         act.reject(ask.request.id(), waitTold(c == null ? FORGET_MS : refillMs(now, c, ask.request.units())));
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
     private void missAnswers(double now) {
         questions.removeIf(a -> a.done || a.admitted);
-        for (Ask ask : questions.stream().filter(a -> now >= a.answerBy).toList()) {
+        for (PendingRequest ask :
+                questions.stream().filter(a -> now >= a.answerBy).toList()) {
             questions.remove(ask);
             peers[ask.keeper].silentTill = now + SILENT_MS;
             touch(now, ask.customer);
@@ -633,7 +626,7 @@
     }
 
     /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
-    private void changed(double now, Customer c) {
+    private void changed(double now, CustomerQuota c) {
         if (!set.limits().peerMessages() || c.spread == 1) return;
         int keeper = keeper(now, c, 0);
         if (keeper != set.gatewayIndex()) {
@@ -652,30 +645,31 @@
         });
     }
 
-    private Tell.Entry tellOf(double now, Customer c, Peer keeper) {
-        for (Ask a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
+    private QuotaMessage.Entry tellOf(double now, CustomerQuota c, PeerState keeper) {
+        for (PendingRequest a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
         double want = c.pendingUnits();
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.silentTill
                 || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
         boolean view = keeper(now, c, 0) == set.gatewayIndex() || now - c.newsAt < FRESH_MS;
-        return Tell.Entry.asking(c, asked, view, want);
+        return QuotaMessage.Entry.asking(c, asked, view, want);
     }
 
-    private Tell.Entry answer(double now, Customer c, Peer to) {
-        Member m = c.member(to);
+    private QuotaMessage.Entry answer(double now, CustomerQuota c, PeerState to) {
+        ReplicaState m = c.member(to);
         double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS);
-        return Tell.Entry.answering(c, m, unsure(now, c), Math.max(0, c.demand + c.others - theirs));
+        return QuotaMessage.Entry.answering(c, m, unsure(now, c), Math.max(0, c.demand + c.others - theirs));
     }
 
     @Override
     public void peerMessageReceived(double now, int from, byte[] data) {
-        Tell tell = from < 0 || from >= peers.length || from == set.gatewayIndex() ? null : Tell.read(data);
+        QuotaMessage tell =
+                from < 0 || from >= peers.length || from == set.gatewayIndex() ? null : QuotaMessage.read(data);
         if (tell == null) return; // unknown sender, or damaged
-        Peer peer = peers[from];
+        PeerState peer = peers[from];
         if (!outbox.takesIn(now, peer, tell)) return;
         boolean toThisLife = tell.yourEpoch() == outbox.epoch();
-        for (Tell.Entry e : tell.entries()) {
+        for (QuotaMessage.Entry e : tell.entries()) {
             if (e.plan() >= set.plans().size()) continue;
             if (e.answer()) hearAnswer(now, peer, e, tell.yourSerial(), toThisLife);
             else hearTell(now, peer, e);
@@ -684,10 +678,10 @@
     }
 
     /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void hearTell(double now, Peer peer, Tell.Entry e) {
+    private void hearTell(double now, PeerState peer, QuotaMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
-        Customer c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
+        CustomerQuota c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
         if (c == null) return;
         if (IntStream.of(c.keepers).noneMatch(k -> k == set.gatewayIndex())) return;
         boolean unsure = unsure(now, c);
@@ -696,7 +690,7 @@
             c.level = Math.min(unsure ? c.level : c.plan.burstUnits(), e.fullness() * c.plan.burstUnits());
             c.informed = true;
         }
-        Member m = c.member(peer);
+        ReplicaState m = c.member(peer);
         c.others = Math.max(0, c.others + e.demand() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS));
         m.demand = e.demand();
         m.demandAt = now;
@@ -705,7 +699,7 @@
         double back = m.granted + m.open * set.sharing().maxUnits();
         c.othersOpen += e.open() - m.open;
         m.open = e.open();
-        double spent = m.known && !adopts ? Math.max(-back, Tell.ahead(e.used(), m.booked)) : 0;
+        double spent = m.known && !adopts ? Math.max(-back, QuotaMessage.ahead(e.used(), m.booked)) : 0;
         m.known = true;
         c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), c.level - spent));
         boolean gives = e.ceiling() && c.plan.ceilingUnitsPerSecond() > 0;
@@ -727,33 +721,33 @@
     }
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void hearAnswer(double now, Peer peer, Tell.Entry e, int mySerial, boolean toThisLife) {
-        Customer c = customers.get(e.customer());
+    private void hearAnswer(double now, PeerState peer, QuotaMessage.Entry e, int mySerial, boolean toThisLife) {
+        CustomerQuota c = customers.get(e.customer());
         if (c == null || !toThisLife) return;
         touch(now, c);
         if (c.planNumber != e.plan()) { // one of the two was told a wrong plan: this grants nothing
-            List<Ask> asked =
+            List<PendingRequest> asked =
                     c.pending.stream().filter(a -> a.keeper == peer.number).toList();
             asked.forEach(a -> decide(now, a, false));
             return;
         }
-        Member m = c.member(peer);
+        ReplicaState m = c.member(peer);
         if (e.ceiling() && e.given() > m.taken) {
             c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + e.given() - m.taken);
             m.taken = e.given();
         }
-        List<Ask> judged = c.pending.stream()
-                .filter(a -> a.keeper == peer.number && !Tell.after(a.askSerial, mySerial))
+        List<PendingRequest> judged = c.pending.stream()
+                .filter(a -> a.keeper == peer.number && !QuotaMessage.after(a.askSerial, mySerial))
                 .toList();
         if (!e.unsure()) {
             c.others = e.demand();
             c.othersOpen = e.open();
             c.newsAt = now;
             c.informed = true;
-            c.level = e.fullness() * c.plan.burstUnits() - Tell.ahead(c.used, e.used());
+            c.level = e.fullness() * c.plan.burstUnits() - QuotaMessage.ahead(c.used, e.used());
         }
         double granted = e.want();
-        for (Ask ask : judged) {
+        for (PendingRequest ask : judged) {
             double units = ask.request.units();
             if (e.unsure() && ask.stage + 1 < c.keepers.length) {
                 question(now, ask, ask.stage + 1);
@@ -777,10 +771,10 @@
     /** Work-conserving fair turns: the backlogged class with the earliest turn goes next. */
     private void release(double now) {
         double bound = bound();
-        LinkedHashSet<ClassState> stuck = new LinkedHashSet<>();
+        LinkedHashSet<TrafficClass> stuck = new LinkedHashSet<>();
         while (inFlight < bound) {
-            ClassState next = null;
-            for (ClassState c : classes.values()) {
+            TrafficClass next = null;
+            for (TrafficClass c : classes.values()) {
                 boolean earlier = next == null || c.turn < next.turn;
                 if (earlier && !c.queue.isEmpty() && !stuck.contains(c)) next = c;
             }
@@ -790,9 +784,9 @@
         waited = true;
     }
 
-    private boolean releaseOne(double now, ClassState c) {
-        for (Ask ask : c.queue.stream().limit(SCAN).toList()) {
-            Server s = pick(now, ask);
+    private boolean releaseOne(double now, TrafficClass c) {
+        for (PendingRequest ask : c.queue.stream().limit(SCAN).toList()) {
+            Endpoint s = pick(now, ask);
             if (s == null) continue;
             c.queue.remove(ask);
             turn = Math.max(turn, c.turn);
@@ -808,7 +802,7 @@
         return false;
     }
 
-    private void send(double now, Ask ask, Server s) {
+    private void send(double now, PendingRequest ask, Endpoint s) {
         Attempt a = new Attempt(ask, s, now, ask.work(), stalled);
         if (ask.attempts.isEmpty()) {
             retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
@@ -843,7 +837,7 @@
     }
 
     /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
-    private double giveUpAt(Ask ask) {
+    private double giveUpAt(PendingRequest ask) {
         double end = ask.deadline - DEADLINE_MS;
         if (ask.ran() != null) return end;
         // What reached no host by half of the client's time has cost it that time for nothing.
@@ -856,8 +850,9 @@
     }
 
     private void expire(double now) {
-        for (ClassState c : classes.values()) {
-            for (Ask ask : c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
+        for (TrafficClass c : classes.values()) {
+            for (PendingRequest ask :
+                    c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
                 noteDelay(c, now - ask.arrived, 0);
                 finish(ask); // takes it from the queue
             }
@@ -865,7 +860,7 @@
     }
 
     /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
-    private void finish(Ask ask) {
+    private void finish(PendingRequest ask) {
         RequestClass spec = ask.cls.spec;
         if (ask.admitted && !ask.done) lateness.note(true);
         boolean harmless = ask.ran() == null
@@ -878,12 +873,12 @@
         else act.fail(ask.request.id());
     }
 
-    private void close(Ask ask) {
+    private void close(PendingRequest ask) {
         if (!ask.anyOut()) asks.remove(ask.request.id());
         if (ask.done) return;
         ask.done = true;
         ask.cls.queue.remove(ask);
-        Customer c = ask.customer;
+        CustomerQuota c = ask.customer;
         if (c == null) return;
         c.pending.remove(ask);
         if (!ask.admitted) return;
@@ -909,7 +904,7 @@
         }
         latencySum = baseSum = aimShareSum = 0;
         answers = timeOuts = 0;
-        for (ClassState c : classes.values()) {
+        for (TrafficClass c : classes.values()) {
             double base = c.samples < BASE_SAMPLES ? c.latencyPerUnit : c.base * BASE_DRIFT;
             c.base = Math.min(base, c.latencyPerUnit);
         }
@@ -917,11 +912,11 @@
 
     // ---- weights by donation
 
-    static double goal(ClassState c) {
+    static double goal(TrafficClass c) {
         return c.spec.latencyObjectiveMs() * DELAY_GOAL;
     }
 
-    private static void noteDelay(ClassState c, double hold, double latency) {
+    private static void noteDelay(TrafficClass c, double hold, double latency) {
         c.tickDelay += hold + latency;
         c.tickCount += latency > 0 ? 0 : 1;
     }
@@ -929,7 +924,7 @@
     private void weighClasses(double now) {
         if (now - delayAt < WEIGHT_TICK_MS) return;
         delayAt = now;
-        for (ClassState c : classes.values()) {
+        for (TrafficClass c : classes.values()) {
             if (c.tickCount > 0) {
                 double mean = c.tickDelay / c.tickCount;
                 c.delay = c.delay == 0 ? mean : ALPHA * c.delay + (1 - ALPHA) * mean;
@@ -939,14 +934,14 @@
         }
         if (now - donateAt < donateGap) return;
         donateAt = now;
-        if (waited) classes.values().forEach(Brain::measureSlope);
+        if (waited) classes.values().forEach(TrafficPolicy::measureSlope);
         boolean gave = waited && donate(new ArrayList<>(classes.values()));
         donateGap = gave ? Math.min(WEIGHT_GAP_MAX_MS, donateGap * 2) : WEIGHT_GAP_MS;
         waited = false;
     }
 
     /** Slopes are negative; a near-nought or wrongly signed one leaves the last good magnitude in place. */
-    static void measureSlope(ClassState c) {
+    static void measureSlope(TrafficClass c) {
         double moved = c.weight - c.markWeight;
         if (c.markWeight > 0 && Math.abs(moved) > 1e-6) {
             double magnitude = -(c.delay - c.markDelay) / moved;
@@ -957,10 +952,10 @@
     }
 
     /** The worst underweight class asks, overweight ones give by surplus, clamped; the sum stays. */
-    static boolean donate(List<ClassState> all) {
-        ClassState worst = null;
+    static boolean donate(List<TrafficClass> all) {
+        TrafficClass worst = null;
         double surplus = 0;
-        for (ClassState c : all) {
+        for (TrafficClass c : all) {
             double over = c.delay / goal(c);
             if (over >= 1 + EPSILON && (worst == null || over > worst.delay / goal(worst))) worst = c;
             surplus += surplus(c);
@@ -968,7 +963,7 @@
         if (worst == null || surplus <= 0) return false; // all content, or all underweight: weights freeze
         double ask = worst.slope > 0 ? (worst.delay - goal(worst)) / worst.slope : WEIGHT_STEP;
         double moved = 0;
-        for (ClassState c : all) {
+        for (TrafficClass c : all) {
             if (surplus(c) <= 0) continue;
             double clamp = c.slope > 0 ? ((1 - EPSILON) * goal(c) - c.delay) / c.slope : WEIGHT_STEP;
             double gift = BETA * Math.min(ask * surplus(c) / surplus, clamp);
@@ -980,14 +975,14 @@
         return moved > 0;
     }
 
-    private static double surplus(ClassState c) {
+    private static double surplus(TrafficClass c) {
         if (c.delay > (1 - EPSILON) * goal(c)) return 0;
         return (goal(c) - c.delay) / (c.slope > 0 ? c.slope : goal(c));
     }
 
     // ---- hosts
 
-    private double rampOf(Server s, double now) {
+    private double rampOf(Endpoint s, double now) {
         double from = set.rules().coldStartCapacity();
         double done = (now - s.coldAt) / Math.max(1, set.rules().slowStartMs());
         return done >= 1 ? 1 : Math.max(0.01, from + (1 - from) * Math.max(0, done));
@@ -998,7 +993,7 @@
         surveyedAt = now;
         table.unsettled().removeIf(s -> s.untried() && rampOf(s, now) >= 1);
         lost = table.unsettled().stream()
-                .filter(Server::open)
+                .filter(Endpoint::open)
                 .mapToDouble(s -> s.slowness(now) < BAD_ANSWER ? 1 - rampOf(s, now) : 1)
                 .sum();
         keepHomes(now);
@@ -1015,10 +1010,10 @@
         boolean steady = peers.length > STEADY;
         long me = set.gatewayIndex();
         long first = steady ? me * size / peers.length : me * kept % Math.max(1, size);
-        List<Server> run = steady && kept >= ARC
+        List<Endpoint> run = steady && kept >= ARC
                 ? table.arc(set.gatewayIndex(), HOST_GATEWAYS, peers.length, HOMES)
                 : table.run((int) first, Math.min(kept, size));
-        if (run != homes || surveyedAt == now) coldest = HostTable.lastStarted(run);
+        if (run != homes || surveyedAt == now) coldest = EndpointTable.lastStarted(run);
         homes = run;
         capacity = size - lost;
     }
@@ -1028,12 +1023,12 @@
      * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
      * attempts out can tell apart, and where that is all of them, all.
      */
-    private Server pick(double now, Ask ask) {
+    private Endpoint pick(double now, PendingRequest ask) {
         int draws = Math.min(homes.size(), DRAWS + 2 * inFlight);
-        Server best = best(now, ask, ownCounts() ? homes : drawn(now, ask.cls, draws), false);
+        Endpoint best = best(now, ask, ownCounts() ? homes : drawn(now, ask.cls, draws), false);
         boolean warm = coldest == null || rampOf(coldest, now) >= 1;
         if (warm) random.nextDouble(); // the draw that no cold host would win
-        Server cold = warm ? null : coldInTurn(now, ask);
+        Endpoint cold = warm ? null : coldInTurn(now, ask);
         if (cold != null && (best == null || cold.out.isEmpty())) return cold;
         if (best != null) return best;
         best = best(now, ask, others(ask), true);
@@ -1042,14 +1037,14 @@
     }
 
     /** All hosts; of very many some from a drawn one on, among those that an unsure attempt's key allows. */
-    private List<Server> others(Ask ask) {
+    private List<Endpoint> others(PendingRequest ask) {
         boolean keyed = table.openCount() > COMPARED && ask.cls.spec.idempotency() == Idempotency.IDEMPOTENCY_KEY;
         Host ran = keyed && ask.ran() != null ? ask.ran().server.info : null;
-        Collection<RankedHosts> legal =
+        Collection<RankedEndpoints> legal =
                 table.open(ran, ran == null ? DeduplicationScope.ALL : ask.cls.spec.deduplicationScope());
-        int count = legal.stream().mapToInt(RankedHosts::size).sum();
+        int count = legal.stream().mapToInt(RankedEndpoints::size).sum();
         int from = count > COMPARED ? random.nextInt(count) : 0;
-        return HostTable.round(legal, from, Math.min(COMPARED, count));
+        return EndpointTable.round(legal, from, Math.min(COMPARED, count));
     }
 
     /**
@@ -1058,10 +1053,10 @@
      * A cold one saves up for each request instead of being drawn for it: the sum of many gateways' chances
      * soon exceeds the few that it bears (rule 4).
      */
-    private Server coldInTurn(double now, Ask ask) {
+    private Endpoint coldInTurn(double now, PendingRequest ask) {
         double left = random.nextDouble()
                 * homes.stream().mapToDouble(s -> able(now, s, ask.cls)).sum();
-        for (Server s : homes) {
+        for (Endpoint s : homes) {
             left -= able(now, s, ask.cls);
             if (left > 0) continue;
             if (rampOf(s, now) >= 1 || !legal(now, ask, ask.ran(), s)) return null;
@@ -1074,11 +1069,11 @@
     }
 
     /** What may go to a host as a share of what a full one gets; over 1 where it is nearly warm (rule 4). */
-    private double coldShare(Server s, double now) {
+    private double coldShare(Endpoint s, double now) {
         return COLD_SAFETY * set.rules().overloadMultiple() * rampOf(s, now);
     }
 
-    private double able(double now, Server s, ClassState c) {
+    private double able(double now, Endpoint s, TrafficClass c) {
         return s.open() ? lean(now, s) * rampOf(s, now) / Math.max(1, s.slowness(now, c)) : 0;
     }
 
@@ -1086,12 +1081,12 @@
      * More for a host that holds less than others for what it can do, by its last report. Reports are late,
      * so they only shift the chance of a turn: if all took the host that reports least, they would fill it.
      */
-    private double lean(double now, Server s) {
+    private double lean(double now, Endpoint s) {
         if (s.reportedAt == State.NEVER) return 1;
         return Math.max(1 / LEAN, Math.min(LEAN, (1 + crowd) / (1 + s.reported / rampOf(s, now))));
     }
 
-    private void noteLoad(double now, Server s, double[] report) {
+    private void noteLoad(double now, Endpoint s, double[] report) {
         int place = set.loadReportFields().indexOf(IN_WORK);
         if (place < 0 || place >= report.length) return;
         s.reported = report[place];
@@ -1103,19 +1098,19 @@
         return DRAWS + 2 * inFlight >= homes.size();
     }
 
-    private Collection<Server> drawn(double now, ClassState c, int draws) {
-        LinkedHashSet<Server> drawn = new LinkedHashSet<>();
+    private Collection<Endpoint> drawn(double now, TrafficClass c, int draws) {
+        LinkedHashSet<Endpoint> drawn = new LinkedHashSet<>();
         for (int i = 0; i < draws * SCAN && drawn.size() < draws; i++) {
-            Server s = homes.get(random.nextInt(homes.size()));
+            Endpoint s = homes.get(random.nextInt(homes.size()));
             if (random.nextDouble() * s.slowness(now, c) <= 1) drawn.add(s);
         }
         return drawn;
     }
 
-    private Server best(double now, Ask ask, Collection<Server> among, boolean colds) {
-        Server best = null;
+    private Endpoint best(double now, PendingRequest ask, Collection<Endpoint> among, boolean colds) {
+        Endpoint best = null;
         double bestScore = Double.MAX_VALUE;
-        for (Server s : among) {
+        for (Endpoint s : among) {
             if (!s.open() || !legal(now, ask, ask.ran(), s)) continue;
             // A cold host has its turns beside; where there is no other, it takes part seldom (rule 4).
             boolean cold = rampOf(s, now) < 1;
@@ -1127,7 +1122,7 @@
         return best;
     }
 
-    private double score(double now, Ask ask, Server s) {
+    private double score(double now, PendingRequest ask, Endpoint s) {
         double doubt = s.slowness(now, ask.cls);
         if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
         for (Attempt a : ask.attempts) {
@@ -1139,14 +1134,14 @@
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
-    private boolean legal(double now, Ask ask, Attempt ran, Server s) {
+    private boolean legal(double now, PendingRequest ask, Attempt ran, Endpoint s) {
         return repeatable(now, ask, ran)
                 && (ran == null
                         || ask.cls.spec.idempotency() != Idempotency.IDEMPOTENCY_KEY
                         || ask.cls.spec.deduplicationScope().isSharedBy(s.info, ran.server.info));
     }
 
-    private boolean repeatable(double now, Ask ask, Attempt ran) {
+    private boolean repeatable(double now, PendingRequest ask, Attempt ran) {
         RequestClass spec = ask.cls.spec;
         double arrives = now + set.limits().connectTimeoutMs(); // at the latest, on a new connection
         return ran == null
@@ -1155,7 +1150,7 @@
                         && arrives < ran.sentAt + WINDOW_SHARE * spec.deduplicationWindowMs();
     }
 
-    private boolean mayTryAgain(double now, Ask ask) {
+    private boolean mayTryAgain(double now, PendingRequest ask) {
         boolean may = repeatable(now, ask, ask.ran())
                 && !ask.streaming
                 && !ask.spent
@@ -1166,9 +1161,9 @@
         return may;
     }
 
-    private void learn(double now, Ask ask, Attempt a, AttemptResult r) {
-        Server s = a.server;
-        ClassState c = ask.cls;
+    private void learn(double now, PendingRequest ask, Attempt a, AttemptResult r) {
+        Endpoint s = a.server;
+        TrafficClass c = ask.cls;
         switch (r.outcome()) {
             case OK -> {
                 s.health().note(r.latencyMs() / Math.max(1, a.work), SLOW_GAIN, now);
@@ -1196,7 +1191,7 @@
                                 .filter(k -> s.of(k).failures > 0)
                                 .count()
                         > 1;
-                if (several) s.health().note(Health.SLOWEST, FAILED_GAIN, now);
+                if (several) s.health().note(OutlierScore.SLOWEST, FAILED_GAIN, now);
             }
             default -> {}
         }
@@ -1212,7 +1207,7 @@
     }
 
     private void watchHealth(double now) {
-        for (Server s : new ArrayList<>(watched)) {
+        for (Endpoint s : new ArrayList<>(watched)) {
             for (Attempt a : new ArrayList<>(s.out)) {
                 double expected = a.work * Math.max(1, s.slowness(now));
                 double waited = now - a.sentAt - (stalled - a.stalled);
--- a/src/main/java/caperrudder/scale/HollowGateway.java
+++ b/src/main/java/caperrudder/scale/HollowGateway.java
@@ -1,10 +1,10 @@
 package caperrudder.scale;
 
-import caperrudder.Brain;
 import caperrudder.api.HostListKind;
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.Settings;
 import caperrudder.net.HostLists;
+import caperrudder.policy.TrafficPolicy;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -18,7 +18,7 @@
 
     final int number;
     private final Outbox outbox = new Outbox();
-    private final Brain module = new Brain(outbox);
+    private final TrafficPolicy module = new TrafficPolicy(outbox);
     private final Outbox.Carrier carrier;
     private HostLists lastRead;
     private long nanos; // of the last event, as are the next two
--- a/src/main/java/caperrudder/wire/WireHost.java
+++ b/src/main/java/caperrudder/wire/WireHost.java
@@ -1,12 +1,12 @@
 package caperrudder.wire;
 
-import caperrudder.Brain;
 import caperrudder.api.AttemptResult;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
+import caperrudder.policy.TrafficPolicy;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -19,7 +19,7 @@
 final class WireHost {
     private final BufferedReader in;
     private final Writer out;
-    private final Map<Long, Brain> brains = new TreeMap<>();
+    private final Map<Long, TrafficPolicy> brains = new TreeMap<>();
     private final Map<Integer, List<Host>> catalogs = new TreeMap<>();
     private final long[] lastAt = {Long.MIN_VALUE};
     private final StringBuilder reply = new StringBuilder();
@@ -98,7 +98,7 @@
         }
         Fields f = fields();
         if (name.equals("ATTACH")) {
-            Brain brain = new Brain(new ReplyWriter(reply, target, lastAt));
+            TrafficPolicy brain = new TrafficPolicy(new ReplyWriter(reply, target, lastAt));
             brains.put(target, brain);
             brain.start(now, SettingsReader.read(f));
             return;
@@ -107,7 +107,7 @@
             brains.remove(target);
             return;
         }
-        Brain brain = brains.get(target);
+        TrafficPolicy brain = brains.get(target);
         if (brain == null) {
             throw new WireFault("'" + name + "' for an instance that was not started: " + target);
         }
@@ -150,7 +150,7 @@
         }
     }
 
-    private void membership(double now, Brain brain, Fields f) {
+    private void membership(double now, TrafficPolicy brain, Fields f) {
         String how = f.text("how");
         HostListKind kind =
                 switch (how) {
--- a/src/test/java/caperrudder/net/DiscoveryTest.java
+++ b/src/test/java/caperrudder/net/DiscoveryTest.java
@@ -11,9 +11,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Brain;
 import caperrudder.net.Sockets.Client;
 import caperrudder.net.Sockets.Server;
+import caperrudder.policy.TrafficPolicy;
 import io.netty.channel.DefaultSelectStrategyFactory;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
@@ -214,7 +214,7 @@
                             .newSelectStrategy()
                             .calculateStrategy(select, hasTasks);
                 });
-        Node node = new Node(configured(agent), Brain::new, Transport.TCP, group);
+        Node node = new Node(configured(agent), TrafficPolicy::new, Transport.TCP, group);
         ends.push(node::stop);
         node.start();
         assertNotNull(agent.next());
--- a/src/test/java/caperrudder/net/FatalTest.java
+++ b/src/test/java/caperrudder/net/FatalTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.Brain;
 import caperrudder.api.PolicyEvents;
+import caperrudder.policy.TrafficPolicy;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.net.InetAddress;
@@ -94,7 +94,7 @@
             Node.plainLogs();
             NodeConfig config = NodeConfig.read(System.getenv("NODE_CONFIG"));
             Node node = new Node(config, act -> {
-                Brain brain = new Brain(act);
+                TrafficPolicy brain = new TrafficPolicy(act);
                 return (PolicyEvents) Proxy.newProxyInstance(
                         PolicyEvents.class.getClassLoader(),
                         new Class<?>[] {PolicyEvents.class},
--- a/src/test/java/caperrudder/net/HandoverFilesGoldenTest.java
+++ b/src/test/java/caperrudder/net/HandoverFilesGoldenTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import caperrudder.GoldenFiles;
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.Snapshot;
 import caperrudder.net.HandoverFiles.Claim;
+import caperrudder.policy.GoldenFiles;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/test/java/caperrudder/net/SnapshotGoldenTest.java
+++ b/src/test/java/caperrudder/net/SnapshotGoldenTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import caperrudder.GoldenFiles;
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Snapshot;
+import caperrudder.policy.GoldenFiles;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/caperrudder/net/Sockets.java
+++ b/src/test/java/caperrudder/net/Sockets.java
@@ -1,8 +1,8 @@
 package caperrudder.net;
 
-import caperrudder.Brain;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
+import caperrudder.policy.TrafficPolicy;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -234,7 +234,7 @@
     }
 
     static Node node(String config) throws IOException {
-        return node(config, Brain::new);
+        return node(config, TrafficPolicy::new);
     }
 
     static Node node(String config, Function<PolicyActions, PolicyEvents> module) throws IOException {
--- a/src/test/java/caperrudder/ActionRecorder.java
+++ b/src/test/java/caperrudder/policy/ActionRecorder.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import caperrudder.api.PolicyActions;
 import java.io.IOException;
--- a/src/test/java/caperrudder/BooksTest.java
+++ b/src/test/java/caperrudder/policy/BooksTest.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -89,11 +89,12 @@
     @Test
     void aLifeThatHasNotBegunSilencesNoPeer() {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(0, 2)).withHosts("a1");
-        Tell.Entry entry = new Tell.Entry(false, true, false, false, false, 5, 0, 0, 2, 1, 0, 1, 1, 0, 0);
-        g.brain.peerMessageReceived(g.now, 1, new Tell(1_900_000_000, 0, 1, 0, List.of(entry)).bytes());
+        QuotaMessage.Entry entry =
+                new QuotaMessage.Entry(false, true, false, false, false, 5, 0, 0, 2, 1, 0, 1, 1, 0, 0);
+        g.brain.peerMessageReceived(g.now, 1, new QuotaMessage(1_900_000_000, 0, 1, 0, List.of(entry)).bytes());
         g.pass(1000);
         assertEquals(0, g.told.size());
-        g.brain.peerMessageReceived(g.now, 1, new Tell(1_000_000, 0, 1, 0, List.of(entry)).bytes());
+        g.brain.peerMessageReceived(g.now, 1, new QuotaMessage(1_000_000, 0, 1, 0, List.of(entry)).bytes());
         g.pass(1000);
         assertEquals(1, g.told.size());
     }
@@ -116,7 +117,8 @@
     }
 
     private static void tellUse(FakeGateway g, long customer, int serial, double used) {
-        Tell.Entry entry = new Tell.Entry(false, false, false, false, false, customer, 0, 0, 2, used, 0, 1, 0, 0, 0);
-        g.brain.peerMessageReceived(g.now, 1, new Tell(1_000_000, 0, serial, 0, List.of(entry)).bytes());
+        QuotaMessage.Entry entry =
+                new QuotaMessage.Entry(false, false, false, false, false, customer, 0, 0, 2, used, 0, 1, 0, 0, 0);
+        g.brain.peerMessageReceived(g.now, 1, new QuotaMessage(1_000_000, 0, serial, 0, List.of(entry)).bytes());
     }
 }
--- a/src/test/java/caperrudder/DecisionsTest.java
+++ b/src/test/java/caperrudder/policy/DecisionsTest.java
@@ -1,8 +1,7 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.State.ClassState;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
@@ -28,8 +27,8 @@
 class DecisionsTest {
     private static final int FILE_LINES = 1200; // not blank, of the longest file
 
-    private static ClassState state(RequestClass spec, double weight, double delay, double slope) {
-        ClassState c = new ClassState(spec);
+    private static TrafficClass state(RequestClass spec, double weight, double delay, double slope) {
+        TrafficClass c = new TrafficClass(spec);
         c.weight = weight;
         c.delay = delay;
         c.slope = slope;
@@ -75,10 +74,10 @@
 
     @Test
     void donationKeepsTheSumAndFavoursTheWorst() {
-        ClassState slow = state(FakeGateway.READ, 0.3, 1500, 2000);
-        ClassState easy = state(FakeGateway.PAY, 0.4, 100, 2000);
-        ClassState idle = state(FakeGateway.ORDER, 0.3, 300, 2000);
-        assertTrue(Brain.donate(List.of(slow, easy, idle)));
+        TrafficClass slow = state(FakeGateway.READ, 0.3, 1500, 2000);
+        TrafficClass easy = state(FakeGateway.PAY, 0.4, 100, 2000);
+        TrafficClass idle = state(FakeGateway.ORDER, 0.3, 300, 2000);
+        assertTrue(TrafficPolicy.donate(List.of(slow, easy, idle)));
         assertEquals(1, slow.weight + easy.weight + idle.weight, 1e-9);
         assertTrue(slow.weight > 0.3 && easy.weight < 0.4 && idle.weight < 0.3);
         assertTrue(0.4 - easy.weight > 0.3 - idle.weight, "gives by surplus");
@@ -86,35 +85,35 @@
 
     @Test
     void donationIsClampedToWhatKeepsTheDonorContent() {
-        ClassState slow = state(FakeGateway.READ, 0.5, 60_000, 100);
-        ClassState donor = state(FakeGateway.PAY, 0.5, 500, 1000);
-        Brain.donate(List.of(slow, donor));
-        double clamp = (0.9 * Brain.goal(donor) - 500) / 1000;
+        TrafficClass slow = state(FakeGateway.READ, 0.5, 60_000, 100);
+        TrafficClass donor = state(FakeGateway.PAY, 0.5, 500, 1000);
+        TrafficPolicy.donate(List.of(slow, donor));
+        double clamp = (0.9 * TrafficPolicy.goal(donor) - 500) / 1000;
         assertTrue(donor.weight >= 0.5 - clamp && donor.weight < 0.5 && donor.weight > 0);
     }
 
     @Test
     void weightsStayPositiveAndFreezeWhenAllSuffer() {
-        ClassState a = state(FakeGateway.READ, 0.03, 10, 0.0001);
-        ClassState b = state(FakeGateway.PAY, 0.97, 9000, 10);
-        Brain.donate(List.of(a, b));
+        TrafficClass a = state(FakeGateway.READ, 0.03, 10, 0.0001);
+        TrafficClass b = state(FakeGateway.PAY, 0.97, 9000, 10);
+        TrafficPolicy.donate(List.of(a, b));
         assertTrue(a.weight > 0);
-        ClassState c = state(FakeGateway.READ, 0.5, 5000, 10);
-        ClassState d = state(FakeGateway.PAY, 0.5, 9000, 10);
-        assertFalse(Brain.donate(List.of(c, d)));
+        TrafficClass c = state(FakeGateway.READ, 0.5, 5000, 10);
+        TrafficClass d = state(FakeGateway.PAY, 0.5, 9000, 10);
+        assertFalse(TrafficPolicy.donate(List.of(c, d)));
         assertEquals(0.5, c.weight);
     }
 
     @Test
     void aBadSlopeKeepsTheLastGoodOne() {
-        ClassState c = state(FakeGateway.READ, 0.5, 800, 1234);
+        TrafficClass c = state(FakeGateway.READ, 0.5, 800, 1234);
         c.markWeight = 0.4;
         c.markDelay = 700; // more weight, more delay: the wrong sign
-        Brain.measureSlope(c);
+        TrafficPolicy.measureSlope(c);
         assertEquals(1234, c.slope);
         c.weight = 0.6;
         c.delay = 500;
-        Brain.measureSlope(c);
+        TrafficPolicy.measureSlope(c);
         assertEquals(3000, c.slope, 1e-6);
     }
 
--- a/src/test/java/caperrudder/HostCostsTest.java
+++ b/src/test/java/caperrudder/policy/EndpointCostsTest.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Bytes that one gateway of 4,200 allocates before 160,000 hosts, seen from outside the module. */
-class HostCostsTest {
+class EndpointCostsTest {
     private static final int HOSTS = 160_000;
     private static final int CHANGES = 100;
     private final com.sun.management.ThreadMXBean threads =
--- a/src/test/java/caperrudder/HostTableTest.java
+++ b/src/test/java/caperrudder/policy/EndpointTableTest.java
@@ -1,9 +1,7 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.State.Health;
-import caperrudder.State.Server;
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
@@ -26,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The table of hosts: which hosts a gateway keeps to, and what it may use where it can't use these. */
-class HostTableTest {
+class EndpointTableTest {
     private static final int HOSTS = 700;
 
     /** Of these some share a hash with another. */
@@ -45,12 +43,12 @@
                 .toList();
     }
 
-    private static List<String> ids(Collection<Server> hosts) {
+    private static List<String> ids(Collection<Endpoint> hosts) {
         return hosts.stream().map(s -> s.info.id()).toList();
     }
 
     private static List<String> open(FakeGateway g) {
-        return ids(HostTable.round(g.brain.table.open(null, DeduplicationScope.ALL), 0, g.brain.table.openCount()));
+        return ids(EndpointTable.round(g.brain.table.open(null, DeduplicationScope.ALL), 0, g.brain.table.openCount()));
     }
 
     /** What every gateway once did at each change: walk, copy and sort all hosts. */
@@ -96,7 +94,7 @@
             }
         }
 
-        private static double slowness(double now, Health h) {
+        private static double slowness(double now, OutlierScore h) {
             return h == null ? 1 : 1 + (h.slow - 1) * Math.exp(-(now - h.at) / 6000);
         }
 
@@ -231,7 +229,7 @@
         g.brain.hostsUpdated(g.now, HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
         assertEquals(List.of("b"), open(g));
         assertEquals(1, g.brain.clusterHealth(g.now).size());
-        HostTable table = g.brain.table;
+        EndpointTable table = g.brain.table;
         assertEquals(0, table.open(a, DeduplicationScope.ZONE).size());
         assertEquals(1, table.open(host("c", "z2", 2), DeduplicationScope.CELL).size());
         g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(gone, a));
--- a/src/test/java/caperrudder/FakeGateway.java
+++ b/src/test/java/caperrudder/policy/FakeGateway.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.DeduplicationScope;
@@ -50,7 +50,7 @@
     final List<String> probed = new ArrayList<>();
     final List<Told> told = new ArrayList<>();
     final List<String> log = new ArrayList<>();
-    final Brain brain = new Brain(this);
+    final TrafficPolicy brain = new TrafficPolicy(this);
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingInt(Timer::order));
     private final Map<String, String> lastHost = new HashMap<>();
--- a/src/test/java/caperrudder/FleetTest.java
+++ b/src/test/java/caperrudder/policy/FleetTest.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/caperrudder/GoldenFiles.java
+++ b/src/test/java/caperrudder/policy/GoldenFiles.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/caperrudder/LoadedHosts.java
+++ b/src/test/java/caperrudder/policy/LoadedHosts.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/caperrudder/OverQuotaTest.java
+++ b/src/test/java/caperrudder/policy/OverQuotaTest.java
@@ -1,12 +1,12 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.QuotaWorld.Habits;
-import caperrudder.QuotaWorld.Policy;
-import caperrudder.QuotaWorld.Result;
 import caperrudder.api.Plan;
+import caperrudder.policy.QuotaWorld.Habits;
+import caperrudder.policy.QuotaWorld.Policy;
+import caperrudder.policy.QuotaWorld.Result;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/caperrudder/OverQuotaUnderLoadTest.java
+++ b/src/test/java/caperrudder/policy/OverQuotaUnderLoadTest.java
@@ -1,15 +1,15 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.LoadedQuotaWorld.Load;
-import caperrudder.LoadedQuotaWorld.Result;
-import caperrudder.QuotaWorld.Habits;
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Idempotency;
 import caperrudder.api.Plan;
 import caperrudder.api.RequestClass;
+import caperrudder.policy.LoadedQuotaWorld.Load;
+import caperrudder.policy.LoadedQuotaWorld.Result;
+import caperrudder.policy.QuotaWorld.Habits;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.LongStream;
--- a/src/test/java/caperrudder/PartsTest.java
+++ b/src/test/java/caperrudder/policy/PartsTest.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -142,21 +142,24 @@
         int member = keeper == 0 ? 1 : 0;
         FakeGateway g = all.get(keeper);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
-            Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
-            g.brain.peerMessageReceived(g.now, member, new Tell(500, 0, 1 + set[1], 0, List.of(e)).bytes());
+            QuotaMessage.Entry e =
+                    new QuotaMessage.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
+            g.brain.peerMessageReceived(g.now, member, new QuotaMessage(500, 0, 1 + set[1], 0, List.of(e)).bytes());
         }
-        Tell.Entry plan = new Tell.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
-        g.brain.peerMessageReceived(g.now, member, new Tell(600, 0, 1, 0, List.of(plan)).bytes());
+        QuotaMessage.Entry plan =
+                new QuotaMessage.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
+        g.brain.peerMessageReceived(g.now, member, new QuotaMessage(600, 0, 1, 0, List.of(plan)).bytes());
         g.pass(100);
         assertTrue(g.told.isEmpty());
-        Tell.Entry good = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
-        byte[] once = new Tell(700, 0, 1, 0, List.of(good)).bytes();
+        QuotaMessage.Entry good =
+                new QuotaMessage.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
+        byte[] once = new QuotaMessage(700, 0, 1, 0, List.of(good)).bytes();
         g.brain.peerMessageReceived(g.now, member, once);
         g.brain.peerMessageReceived(g.now, member, once);
         g.pass(100);
-        Tell.Entry answer = g.told.stream()
-                .flatMap(t -> Tell.read(t.data()).entries().stream())
-                .filter(Tell.Entry::answer)
+        QuotaMessage.Entry answer = g.told.stream()
+                .flatMap(t -> QuotaMessage.read(t.data()).entries().stream())
+                .filter(QuotaMessage.Entry::answer)
                 .findFirst()
                 .orElseThrow();
         assertEquals(4, answer.want());
@@ -166,8 +169,8 @@
     @Test
     void runningTotalsRunOverTheEndsOfTheirFields() {
         double far = (1L << 31) / 16.0;
-        assertEquals(3, Tell.ahead(far + 1, far - 2));
-        assertTrue(Tell.after(2, 65_534) && !Tell.after(65_534, 2));
+        assertEquals(3, QuotaMessage.ahead(far + 1, far - 2));
+        assertTrue(QuotaMessage.after(2, 65_534) && !QuotaMessage.after(65_534, 2));
     }
 
     @Test
@@ -203,22 +206,22 @@
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 0x10;
-            assertNull(Tell.read(bad), "byte " + i);
+            assertNull(QuotaMessage.read(bad), "byte " + i);
         }
-        assertNull(Tell.read(java.util.Arrays.copyOf(good, good.length - 1)));
-        assertNull(Tell.read(new byte[0]));
-        assertNotNull(Tell.read(good));
+        assertNull(QuotaMessage.read(java.util.Arrays.copyOf(good, good.length - 1)));
+        assertNull(QuotaMessage.read(new byte[0]));
+        assertNotNull(QuotaMessage.read(good));
     }
 
     @Test
     void aTellKeepsWhatItSays() {
         long customer = 4569004829183723L % (1L << 33);
-        Tell.Entry tell =
-                new Tell.Entry(false, true, true, false, true, customer, 255, 389, 390, 12.5, 3.25, 7.5, -0.5, 300, 0);
-        Tell.Entry answer =
-                new Tell.Entry(true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5, 0.25, 4, 70_000.5);
-        Tell said = new Tell(-5, 9, 65_535, 0, List.of(tell, answer));
-        assertEquals(said, Tell.read(said.bytes()));
+        QuotaMessage.Entry tell = new QuotaMessage.Entry(
+                false, true, true, false, true, customer, 255, 389, 390, 12.5, 3.25, 7.5, -0.5, 300, 0);
+        QuotaMessage.Entry answer = new QuotaMessage.Entry(
+                true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5, 0.25, 4, 70_000.5);
+        QuotaMessage said = new QuotaMessage(-5, 9, 65_535, 0, List.of(tell, answer));
+        assertEquals(said, QuotaMessage.read(said.bytes()));
     }
 
     @Test
@@ -313,10 +316,10 @@
     @Test
     void aPeersNextLifeIsHeardAlsoWhereItsNumberHasRunOver() {
         FakeGateway g = new FakeGateway(Integer.MAX_VALUE, FakeGateway.settings(0, 2)).withHosts("a1");
-        Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
+        QuotaMessage.Entry e = new QuotaMessage.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
         for (int life : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
             int before = g.told.size();
-            g.brain.peerMessageReceived(g.now, 1, new Tell(life, 0, 1, 0, List.of(e)).bytes());
+            g.brain.peerMessageReceived(g.now, 1, new QuotaMessage(life, 0, 1, 0, List.of(e)).bytes());
             g.pass(200);
             assertTrue(g.told.size() > before, "no answer to life " + life);
         }
--- a/src/test/java/caperrudder/PeerMessageGoldenTest.java
+++ b/src/test/java/caperrudder/policy/PeerMessageGoldenTest.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -30,53 +30,54 @@
     private static final int COUNT_AT = 15; // of the entries, the last byte of the head
     private static final int HEAD_BYTES = 16;
 
-    private static final Tell.Entry REPLICA_ASKS =
-            new Tell.Entry(false, true, false, false, false, 5, 0, 1, 2, 1.5, 4, 2.25, 0, 1, 0);
-    private static final Tell.Entry REPLICA_ASKS_WITH_VIEW =
-            new Tell.Entry(false, true, false, false, true, 0xAB_1234_5678L, 3, 7, 300, 1000.0625, 0.25, 40, 0.5, 2, 0);
-    private static final Tell.Entry REPLICA_ASKS_FOR_CEILING =
-            new Tell.Entry(false, true, true, false, true, 4711, 1, 0, 5, 77.75, 12.5, 3.1875, -0.25, 0, 0);
-    private static final Tell.Entry REPLICA_REPORTS =
-            new Tell.Entry(false, false, false, false, false, 6, 2, 0, 2, 8, 0, 1, 0, 3, 0);
-    private static final Tell.Entry OWNER_ANSWERS =
-            new Tell.Entry(true, false, false, false, false, 5, 0, 0, 0, 5.5, 4, 0.5, 0.75, 6, 0);
-    private static final Tell.Entry OWNER_ANSWERS_WITH_CEILING =
-            new Tell.Entry(true, false, true, false, false, 4711, 1, 0, 0, 90.25, 12.5, 9, -1, 2, 20.0625);
-    private static final Tell.Entry OWNER_IS_UNSURE =
-            new Tell.Entry(true, false, false, true, false, 0xFF_0000_0001L, 2, 0, 0, 0, 0, 0, 1, 0, 0);
-    private static final Tell.Entry OWNER_IS_UNSURE_OF_CEILING =
-            new Tell.Entry(true, false, true, true, false, 9, 4, 0, 0, 2, 1, 0.0625, 0, 1, 3);
+    private static final QuotaMessage.Entry REPLICA_ASKS =
+            new QuotaMessage.Entry(false, true, false, false, false, 5, 0, 1, 2, 1.5, 4, 2.25, 0, 1, 0);
+    private static final QuotaMessage.Entry REPLICA_ASKS_WITH_VIEW = new QuotaMessage.Entry(
+            false, true, false, false, true, 0xAB_1234_5678L, 3, 7, 300, 1000.0625, 0.25, 40, 0.5, 2, 0);
+    private static final QuotaMessage.Entry REPLICA_ASKS_FOR_CEILING =
+            new QuotaMessage.Entry(false, true, true, false, true, 4711, 1, 0, 5, 77.75, 12.5, 3.1875, -0.25, 0, 0);
+    private static final QuotaMessage.Entry REPLICA_REPORTS =
+            new QuotaMessage.Entry(false, false, false, false, false, 6, 2, 0, 2, 8, 0, 1, 0, 3, 0);
+    private static final QuotaMessage.Entry OWNER_ANSWERS =
+            new QuotaMessage.Entry(true, false, false, false, false, 5, 0, 0, 0, 5.5, 4, 0.5, 0.75, 6, 0);
+    private static final QuotaMessage.Entry OWNER_ANSWERS_WITH_CEILING =
+            new QuotaMessage.Entry(true, false, true, false, false, 4711, 1, 0, 0, 90.25, 12.5, 9, -1, 2, 20.0625);
+    private static final QuotaMessage.Entry OWNER_IS_UNSURE =
+            new QuotaMessage.Entry(true, false, false, true, false, 0xFF_0000_0001L, 2, 0, 0, 0, 0, 0, 1, 0, 0);
+    private static final QuotaMessage.Entry OWNER_IS_UNSURE_OF_CEILING =
+            new QuotaMessage.Entry(true, false, true, true, false, 9, 4, 0, 0, 2, 1, 0.0625, 0, 1, 3);
 
     /** By name, what each golden message says. */
-    private static final Map<String, Tell> MESSAGES = messages();
+    private static final Map<String, QuotaMessage> MESSAGES = messages();
 
     /** By name, what was encoded where a field could not hold a value: it is held at its limit or runs over. */
-    private static final Map<String, Tell> BEYOND_THE_FIELDS = beyondTheFields();
+    private static final Map<String, QuotaMessage> BEYOND_THE_FIELDS = beyondTheFields();
 
-    private static Map<String, Tell> messages() {
-        Map<String, Tell> all = new LinkedHashMap<>();
-        all.put("empty", new Tell(1, 0, 1, 0, List.of()));
-        all.put("replica-asks", new Tell(1_700_000_000, 1_600_000_000, 2, 1, List.of(REPLICA_ASKS)));
-        all.put("replica-asks-with-view", new Tell(-2, 17, 300, 299, List.of(REPLICA_ASKS_WITH_VIEW)));
-        all.put("replica-asks-for-ceiling", new Tell(100, 200, 3, 4, List.of(REPLICA_ASKS_FOR_CEILING)));
-        all.put("replica-reports", new Tell(100, 200, 4, 4, List.of(REPLICA_REPORTS)));
-        all.put("owner-answers", new Tell(200, 100, 5, 3, List.of(OWNER_ANSWERS)));
-        all.put("owner-answers-with-ceiling", new Tell(200, 100, 6, 3, List.of(OWNER_ANSWERS_WITH_CEILING)));
-        all.put("owner-is-unsure", new Tell(200, 0, 1, 3, List.of(OWNER_IS_UNSURE)));
-        all.put("owner-is-unsure-of-ceiling", new Tell(200, 0, 2, 3, List.of(OWNER_IS_UNSURE_OF_CEILING)));
+    private static Map<String, QuotaMessage> messages() {
+        Map<String, QuotaMessage> all = new LinkedHashMap<>();
+        all.put("empty", new QuotaMessage(1, 0, 1, 0, List.of()));
+        all.put("replica-asks", new QuotaMessage(1_700_000_000, 1_600_000_000, 2, 1, List.of(REPLICA_ASKS)));
+        all.put("replica-asks-with-view", new QuotaMessage(-2, 17, 300, 299, List.of(REPLICA_ASKS_WITH_VIEW)));
+        all.put("replica-asks-for-ceiling", new QuotaMessage(100, 200, 3, 4, List.of(REPLICA_ASKS_FOR_CEILING)));
+        all.put("replica-reports", new QuotaMessage(100, 200, 4, 4, List.of(REPLICA_REPORTS)));
+        all.put("owner-answers", new QuotaMessage(200, 100, 5, 3, List.of(OWNER_ANSWERS)));
+        all.put("owner-answers-with-ceiling", new QuotaMessage(200, 100, 6, 3, List.of(OWNER_ANSWERS_WITH_CEILING)));
+        all.put("owner-is-unsure", new QuotaMessage(200, 0, 1, 3, List.of(OWNER_IS_UNSURE)));
+        all.put("owner-is-unsure-of-ceiling", new QuotaMessage(200, 0, 2, 3, List.of(OWNER_IS_UNSURE_OF_CEILING)));
         all.put(
                 "several-entries",
-                new Tell(300, 400, 7, 8, List.of(OWNER_ANSWERS_WITH_CEILING, REPLICA_ASKS_WITH_VIEW, OWNER_IS_UNSURE)));
-        all.put("eight-entries", new Tell(300, 400, 8, 8, Collections.nCopies(8, REPLICA_ASKS_FOR_CEILING)));
+                new QuotaMessage(
+                        300, 400, 7, 8, List.of(OWNER_ANSWERS_WITH_CEILING, REPLICA_ASKS_WITH_VIEW, OWNER_IS_UNSURE)));
+        all.put("eight-entries", new QuotaMessage(300, 400, 8, 8, Collections.nCopies(8, REPLICA_ASKS_FOR_CEILING)));
         all.put(
                 "largest-values",
-                new Tell(
+                new QuotaMessage(
                         -1,
                         Integer.MAX_VALUE,
                         0xffff,
                         0xffff,
                         List.of(
-                                new Tell.Entry(
+                                new QuotaMessage.Entry(
                                         false,
                                         true,
                                         true,
@@ -92,7 +93,7 @@
                                         1,
                                         0xffff,
                                         0),
-                                new Tell.Entry(
+                                new QuotaMessage.Entry(
                                         true,
                                         true,
                                         true,
@@ -110,15 +111,15 @@
                                         134217727.9375))));
         all.put(
                 "smallest-values",
-                new Tell(
+                new QuotaMessage(
                         Integer.MIN_VALUE,
                         0,
                         0,
                         0,
                         List.of(
-                                new Tell.Entry(
+                                new QuotaMessage.Entry(
                                         false, false, false, false, true, 0, 0, 0, 0, -134217728, 0, 0, -1, 0, 0),
-                                new Tell.Entry(
+                                new QuotaMessage.Entry(
                                         true,
                                         false,
                                         true,
@@ -136,12 +137,12 @@
                                         -134217728))));
         all.put(
                 "rounded-values",
-                new Tell(
+                new QuotaMessage(
                         1,
                         1,
                         1,
                         1,
-                        List.of(new Tell.Entry(
+                        List.of(new QuotaMessage.Entry(
                                 false,
                                 false,
                                 false,
@@ -160,17 +161,17 @@
         return all;
     }
 
-    private static Map<String, Tell> beyondTheFields() {
-        Map<String, Tell> all = new LinkedHashMap<>();
+    private static Map<String, QuotaMessage> beyondTheFields() {
+        Map<String, QuotaMessage> all = new LinkedHashMap<>();
         all.put(
                 "largest-values",
-                new Tell(
+                new QuotaMessage(
                         -1,
                         Integer.MAX_VALUE,
                         0x5ffff,
                         -1,
                         List.of(
-                                new Tell.Entry(
+                                new QuotaMessage.Entry(
                                         false,
                                         true,
                                         true,
@@ -186,7 +187,7 @@
                                         1.5,
                                         70_000,
                                         99),
-                                new Tell.Entry(
+                                new QuotaMessage.Entry(
                                         true,
                                         true,
                                         true,
@@ -204,13 +205,13 @@
                                         134217727.9375))));
         all.put(
                 "smallest-values",
-                new Tell(
+                new QuotaMessage(
                         Integer.MIN_VALUE,
                         0,
                         0x10000,
                         0x20000,
                         List.of(
-                                new Tell.Entry(
+                                new QuotaMessage.Entry(
                                         false,
                                         false,
                                         false,
@@ -226,7 +227,7 @@
                                         -1.5,
                                         -5,
                                         0),
-                                new Tell.Entry(
+                                new QuotaMessage.Entry(
                                         true,
                                         false,
                                         true,
@@ -244,12 +245,12 @@
                                         134217728)))); // runs over
         all.put(
                 "rounded-values",
-                new Tell(
+                new QuotaMessage(
                         1,
                         1,
                         1,
                         1,
-                        List.of(new Tell.Entry(
+                        List.of(new QuotaMessage.Entry(
                                 false, false, false, false, true, 1, 1, 1, 1, 0.1, 0.04, 0.3, 1 / 3.0, 1, 0))));
         return all;
     }
@@ -291,7 +292,7 @@
     @MethodSource("names")
     void aGoldenMessageIsDecodedToItsFieldsAndEncodedToItsBytes(String name) {
         byte[] golden = golden(name);
-        assertEquals(MESSAGES.get(name), Tell.read(golden));
+        assertEquals(MESSAGES.get(name), QuotaMessage.read(golden));
         assertArrayEquals(golden, MESSAGES.get(name).bytes());
         assertArrayEquals(golden, sealed(golden), "version, checksum and what it covers");
         assertEquals(VERSION, golden[0]);
@@ -310,12 +311,12 @@
         byte[] golden = golden(name);
         for (int length = 0; length < golden.length; length++) {
             byte[] torn = Arrays.copyOf(golden, length);
-            assertNull(Tell.read(torn), "first " + length + " bytes");
-            if (length >= HEAD_BYTES) assertNull(Tell.read(sealed(torn)), "first " + length + " bytes, sealed");
+            assertNull(QuotaMessage.read(torn), "first " + length + " bytes");
+            if (length >= HEAD_BYTES) assertNull(QuotaMessage.read(sealed(torn)), "first " + length + " bytes, sealed");
         }
         byte[] longer = Arrays.copyOf(golden, golden.length + 1);
-        assertNull(Tell.read(longer));
-        assertNull(Tell.read(sealed(longer)));
+        assertNull(QuotaMessage.read(longer));
+        assertNull(QuotaMessage.read(sealed(longer)));
     }
 
     @ParameterizedTest
@@ -325,7 +326,7 @@
         for (int bit = 0; bit < golden.length * Byte.SIZE; bit++) {
             byte[] damaged = golden.clone();
             damaged[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
-            assertNull(Tell.read(damaged), "bit " + bit);
+            assertNull(QuotaMessage.read(damaged), "bit " + bit);
         }
     }
 
@@ -334,8 +335,8 @@
         for (int version = Byte.MIN_VALUE; version <= Byte.MAX_VALUE; version++) {
             byte[] other = golden("several-entries");
             other[0] = (byte) version;
-            if (version == VERSION) assertNotNull(Tell.read(sealed(other)));
-            else assertNull(Tell.read(sealed(other)), "version " + version);
+            if (version == VERSION) assertNotNull(QuotaMessage.read(sealed(other)));
+            else assertNull(QuotaMessage.read(sealed(other)), "version " + version);
         }
     }
 
@@ -344,8 +345,8 @@
         for (int count = 0; count <= 0xff; count++) {
             byte[] other = golden("several-entries");
             other[COUNT_AT] = (byte) count;
-            if (count == 3) assertNotNull(Tell.read(sealed(other)));
-            else assertNull(Tell.read(sealed(other)), count + " entries");
+            if (count == 3) assertNotNull(QuotaMessage.read(sealed(other)));
+            else assertNull(QuotaMessage.read(sealed(other)), count + " entries");
         }
     }
 }
--- a/src/test/java/caperrudder/RankedHostsTest.java
+++ b/src/test/java/caperrudder/policy/RankedEndpointsTest.java
@@ -1,8 +1,7 @@
-package caperrudder;
+package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import caperrudder.State.Server;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -11,29 +10,29 @@
 import org.junit.jupiter.api.Test;
 
 /** The order-statistics list beside a sorted set that is walked. */
-class RankedHostsTest {
+class RankedEndpointsTest {
     private static final int KEYS = 400; // few, so that many hosts share one
 
     private static int key(String id) {
         return Math.floorMod(id.hashCode() * 31, KEYS) - KEYS / 2;
     }
 
-    private static List<String> ids(List<Server> hosts) {
+    private static List<String> ids(List<Endpoint> hosts) {
         return hosts.stream().map(s -> s.info.id()).toList();
     }
 
     @Test
     void itFindsHostsByIdAndByRankAsASortedSetDoes() {
         Random random = new Random(3);
-        Comparator<Server> order =
-                Comparator.<Server>comparingInt(s -> key(s.info.id())).thenComparing(s -> s.info.id());
-        TreeSet<Server> expected = new TreeSet<>(order);
-        RankedHosts ranked = new RankedHosts();
+        Comparator<Endpoint> order =
+                Comparator.<Endpoint>comparingInt(s -> key(s.info.id())).thenComparing(s -> s.info.id());
+        TreeSet<Endpoint> expected = new TreeSet<>(order);
+        RankedEndpoints ranked = new RankedEndpoints();
         for (int step = 0; step < 40_000; step++) {
             boolean grows = step / 10_000 % 2 == 0; // up to thousands, down to a few, and the same again
-            Server s = new Server(FakeGateway.host("h" + random.nextInt(6000), "a"));
+            Endpoint s = new Endpoint(FakeGateway.host("h" + random.nextInt(6000), "a"));
             int key = key(s.info.id());
-            Server known = ranked.find(key, s.info.id());
+            Endpoint known = ranked.find(key, s.info.id());
             assertEquals(expected.contains(s), known != null);
             if (known == null && (grows || random.nextInt(4) == 0)) {
                 ranked.add(key, s);
@@ -47,14 +46,14 @@
         }
     }
 
-    private static void compare(RankedHosts ranked, List<Server> expected, Random random) {
-        List<Server> visited = new ArrayList<>();
+    private static void compare(RankedEndpoints ranked, List<Endpoint> expected, Random random) {
+        List<Endpoint> visited = new ArrayList<>();
         ranked.forEach(visited::add);
         assertEquals(ids(expected), ids(visited));
         for (int i = 0; i < 20 && !expected.isEmpty(); i++) {
             int from = random.nextInt(expected.size());
             int count = random.nextInt(1000);
-            List<Server> some = new ArrayList<>();
+            List<Endpoint> some = new ArrayList<>();
             ranked.copy(from, count, some);
             assertEquals(ids(expected.subList(from, Math.min(expected.size(), from + count))), ids(some));
             assertSame(some.isEmpty() ? ranked.at(from) : some.get(0), ranked.at(from));
@@ -65,8 +64,8 @@
 
     @Test
     void ofNoHostsItFindsNone() {
-        RankedHosts ranked = new RankedHosts();
-        Server s = new Server(FakeGateway.host("a1", "a"));
+        RankedEndpoints ranked = new RankedEndpoints();
+        Endpoint s = new Endpoint(FakeGateway.host("a1", "a"));
         assertNull(ranked.find(1, "a1"));
         assertEquals(0, ranked.rank(Integer.MAX_VALUE));
         ranked.add(1, s);
--- a/src/test/java/caperrudder/SeededWorld.java
+++ b/src/test/java/caperrudder/policy/SeededWorld.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.Host;
@@ -69,7 +69,7 @@
         GatewayProcess(int number) {
             this.number = number;
             this.actions = new ActionRecorder(() -> now, this);
-            this.policy = new Brain(actions);
+            this.policy = new TrafficPolicy(actions);
         }
 
         /** The policy meets an event, once its event loop doesn't stall. */
--- a/src/test/java/caperrudder/SnapshotDecisionsTest.java
+++ b/src/test/java/caperrudder/policy/SnapshotDecisionsTest.java
@@ -1,17 +1,17 @@
-package caperrudder;
+package caperrudder.policy;
 
-import static caperrudder.ActionRecorder.bits;
+import static caperrudder.policy.ActionRecorder.bits;
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.SeededWorld.GatewayProcess;
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Snapshot;
+import caperrudder.policy.SeededWorld.GatewayProcess;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/caperrudder/TrueUse.java
+++ b/src/test/java/caperrudder/policy/TrueUse.java
@@ -1,4 +1,4 @@
-package caperrudder;
+package caperrudder.policy;
 
 import caperrudder.api.Plan;
 import java.util.Map;
