--- a/src/main/java/caperrudder/Main.java
+++ b/src/main/java/caperrudder/Main.java
@@ -21,7 +21,7 @@
         switch (command) {
             case "serve" -> caperrudder.net.Node.main(System.getenv("NODE_CONFIG"), System.getenv("NODE_ADMIN_ADDR"));
             case "rehearse" -> caperrudder.net.Rehearsal.run();
-            case "wirehost" -> caperrudder.wire.Main.main(args);
+            case "wirehost" -> caperrudder.simulator.SimulatorCommand.main(args);
             default -> {
                 System.err.println("usage: caperrudder serve | rehearse | wirehost | scale");
                 System.exit(USAGE);
--- a/src/main/java/caperrudder/net/NodeConfig.java
+++ b/src/main/java/caperrudder/net/NodeConfig.java
@@ -1,9 +1,9 @@
 package caperrudder.net;
 
 import caperrudder.api.Settings;
-import caperrudder.wire.Fields;
-import caperrudder.wire.SettingsReader;
-import caperrudder.wire.WireFault;
+import caperrudder.settings.FieldException;
+import caperrudder.settings.Fields;
+import caperrudder.settings.SettingsReader;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -75,7 +75,7 @@
         } catch (IOException e) {
             throw new BadConfig("can't read " + file + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
-        } catch (WireFault | IllegalArgumentException e) {
+        } catch (FieldException | IllegalArgumentException e) {
             throw new BadConfig(file + ": " + e.getMessage());
         }
     }
--- a/src/main/java/caperrudder/scale/FleetSettings.java
+++ b/src/main/java/caperrudder/scale/FleetSettings.java
@@ -1,8 +1,8 @@
 package caperrudder.scale;
 
 import caperrudder.api.Settings;
-import caperrudder.wire.Fields;
-import caperrudder.wire.SettingsReader;
+import caperrudder.settings.Fields;
+import caperrudder.settings.SettingsReader;
 import java.util.Map;
 import java.util.TreeMap;
 
--- a/src/main/java/caperrudder/wire/WireFault.java
+++ b/src/main/java/caperrudder/settings/FieldException.java
@@ -1,10 +1,10 @@
-package caperrudder.wire;
+package caperrudder.settings;
 
 /** A line that cannot be read; the message tells what is wrong with it. */
-public final class WireFault extends RuntimeException {
+public final class FieldException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireFault(String message) {
+    public FieldException(String message) {
         super(message);
     }
 }
--- a/src/main/java/caperrudder/wire/Fields.java
+++ b/src/main/java/caperrudder/settings/Fields.java
@@ -1,4 +1,4 @@
-package caperrudder.wire;
+package caperrudder.settings;
 
 import java.util.Map;
 import java.util.TreeMap;
@@ -13,14 +13,14 @@
     }
 
     /** Reads pairs set apart by single spaces; {@code textField}, where not null, runs to the end of the line. */
-    Fields(String text) {
+    public Fields(String text) {
         int at = 0;
         while (at < text.length()) {
             int space = text.indexOf(' ', at);
             int end = space < 0 ? text.length() : space;
             int equals = text.indexOf('=', at);
             if (equals <= at || equals >= end) {
-                throw new WireFault("not a name=value pair: '" + text.substring(at, end) + "'");
+                throw new FieldException("not a name=value pair: '" + text.substring(at, end) + "'");
             }
             values.put(text.substring(at, equals), text.substring(equals + 1, end));
             at = end + 1;
@@ -30,7 +30,7 @@
     private String required(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new WireFault("missing field '" + name + "'");
+            throw new FieldException("missing field '" + name + "'");
         }
         return value;
     }
@@ -39,19 +39,19 @@
         return values.containsKey(name);
     }
 
-    String text(String name) {
+    public String text(String name) {
         String value = required(name);
         if (value.isEmpty()) {
-            throw new WireFault("empty field '" + name + "'");
+            throw new FieldException("empty field '" + name + "'");
         }
         return value;
     }
 
-    String text(String name, String absent) {
+    public String text(String name, String absent) {
         return values.getOrDefault(name, absent);
     }
 
-    double number(String name) {
+    public double number(String name) {
         String value = required(name);
         try {
             double number = Double.parseDouble(value);
@@ -61,19 +61,19 @@
         } catch (NumberFormatException e) {
             // reported below with the field's name
         }
-        throw new WireFault("bad number in '" + name + "': '" + value + "'");
+        throw new FieldException("bad number in '" + name + "': '" + value + "'");
     }
 
     public double number(String name, double absent) {
         return has(name) ? number(name) : absent;
     }
 
-    long whole(String name) {
+    public long whole(String name) {
         String value = required(name);
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireFault("bad whole number in '" + name + "': '" + value + "'");
+            throw new FieldException("bad whole number in '" + name + "': '" + value + "'");
         }
     }
 
@@ -82,19 +82,19 @@
     }
 
     /** A whole number that fits an int. */
-    int count(String name) {
+    public int count(String name) {
         long value = whole(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw new WireFault("number out of range in '" + name + "': '" + value + "'");
+            throw new FieldException("number out of range in '" + name + "': '" + value + "'");
         }
         return (int) value;
     }
 
-    int count(String name, int absent) {
+    public int count(String name, int absent) {
         return has(name) ? count(name) : absent;
     }
 
-    boolean flag(String name, boolean absent) {
+    public boolean flag(String name, boolean absent) {
         String value = values.get(name);
         if (value == null) {
             return absent;
@@ -102,12 +102,12 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw new WireFault("bad truth value in '" + name + "': '" + value + "'");
+            default -> throw new FieldException("bad truth value in '" + name + "': '" + value + "'");
         };
     }
 
     /** Numbers set apart by commas; none where the field is absent or empty. */
-    double[] row(String name) {
+    public double[] row(String name) {
         String value = values.getOrDefault(name, "");
         if (value.isEmpty() || value.equals("-")) {
             return new double[0];
@@ -118,13 +118,13 @@
             try {
                 row[i] = Double.parseDouble(parts[i]);
             } catch (NumberFormatException e) {
-                throw new WireFault("bad number in '" + name + "': '" + value + "'");
+                throw new FieldException("bad number in '" + name + "': '" + value + "'");
             }
         }
         return row;
     }
 
-    byte[] bytes(String name) {
+    public byte[] bytes(String name) {
         String value = text(name);
         if (value.equals("-")) {
             return new byte[0];
@@ -132,7 +132,7 @@
         try {
             return java.util.HexFormat.of().parseHex(value);
         } catch (IllegalArgumentException e) {
-            throw new WireFault("bad bytes in '" + name + "': '" + value + "'");
+            throw new FieldException("bad bytes in '" + name + "': '" + value + "'");
         }
     }
 }
--- a/src/main/java/caperrudder/wire/SettingsReader.java
+++ b/src/main/java/caperrudder/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package caperrudder.wire;
+package caperrudder.settings;
 
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Idempotency;
@@ -100,7 +100,7 @@
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
             case "once" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new WireFault("unknown effect '" + word + "'");
+            default -> throw new FieldException("unknown effect '" + word + "'");
         };
     }
 
@@ -109,7 +109,7 @@
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new WireFault("unknown key scope '" + word + "'");
+            default -> throw new FieldException("unknown key scope '" + word + "'");
         };
     }
 }
--- a/src/main/java/caperrudder/wire/ReplyWriter.java
+++ b/src/main/java/caperrudder/simulator/ActionWriter.java
@@ -1,15 +1,15 @@
-package caperrudder.wire;
+package caperrudder.simulator;
 
 import caperrudder.api.PolicyActions;
 import java.util.HexFormat;
 
 /** Writes one instance's actions as lines of the reply; the AT line comes before its first. */
-final class ReplyWriter implements PolicyActions {
+final class ActionWriter implements PolicyActions {
     private final StringBuilder out;
     private final long instance;
     private final long[] lastAt;
 
-    ReplyWriter(StringBuilder out, long instance, long[] lastAt) {
+    ActionWriter(StringBuilder out, long instance, long[] lastAt) {
         this.out = out;
         this.instance = instance;
         this.lastAt = lastAt;
--- a/src/main/java/caperrudder/wire/WireHost.java
+++ b/src/main/java/caperrudder/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package caperrudder.wire;
+package caperrudder.simulator;
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.Host;
@@ -7,6 +7,9 @@
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import caperrudder.policy.TrafficPolicy;
+import caperrudder.settings.FieldException;
+import caperrudder.settings.Fields;
+import caperrudder.settings.SettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -16,7 +19,7 @@
 import java.util.TreeMap;
 
 /** Hosts many instances of the decision module on the simulator's wire and translates lines both ways. */
-final class WireHost {
+final class SimulatorAdapter {
     private final BufferedReader in;
     private final Writer out;
     private final Map<Long, TrafficPolicy> brains = new TreeMap<>();
@@ -26,12 +29,12 @@
     private long lineNumber;
     private String line = "";
 
-    WireHost(BufferedReader in, Writer out) {
+    SimulatorAdapter(BufferedReader in, Writer out) {
         this.in = in;
         this.out = out;
     }
 
-    /** Answers batches until the input ends; a {@link WireFault} names the line and what is wrong with it. */
+    /** Answers batches until the input ends; a {@link FieldException} names the line and what is wrong with it. */
     void run() throws IOException {
         try {
             while (next()) {
@@ -40,8 +43,8 @@
                 }
                 batch();
             }
-        } catch (WireFault fault) {
-            throw new WireFault("line " + lineNumber + ": " + fault.getMessage());
+        } catch (FieldException fault) {
+            throw new FieldException("line " + lineNumber + ": " + fault.getMessage());
         }
     }
 
@@ -63,7 +66,7 @@
 
     private void batch() throws IOException {
         if (!nameOf(line).equals("BEGIN_BATCH")) {
-            throw new WireFault("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
+            throw new FieldException("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
         }
         Fields head = fields();
         double now = head.number("moment_ms");
@@ -73,7 +76,7 @@
         long target = Long.MIN_VALUE;
         while (true) {
             if (!next()) {
-                throw new WireFault("input ended inside a batch");
+                throw new FieldException("input ended inside a batch");
             }
             String name = nameOf(line);
             if (name.equals("COMMIT")) {
@@ -94,11 +97,11 @@
 
     private void event(double now, long target, String name) {
         if (target == Long.MIN_VALUE) {
-            throw new WireFault("'" + name + "' before any TARGET_INSTANCE");
+            throw new FieldException("'" + name + "' before any TARGET_INSTANCE");
         }
         Fields f = fields();
         if (name.equals("ATTACH")) {
-            TrafficPolicy brain = new TrafficPolicy(new ReplyWriter(reply, target, lastAt));
+            TrafficPolicy brain = new TrafficPolicy(new ActionWriter(reply, target, lastAt));
             brains.put(target, brain);
             brain.start(now, SettingsReader.read(f));
             return;
@@ -109,7 +112,7 @@
         }
         TrafficPolicy brain = brains.get(target);
         if (brain == null) {
-            throw new WireFault("'" + name + "' for an instance that was not started: " + target);
+            throw new FieldException("'" + name + "' for an instance that was not started: " + target);
         }
         switch (name) {
             case "MEMBERSHIP" -> membership(now, brain, f);
@@ -146,7 +149,7 @@
             case "FROM_PEER" -> brain.peerMessageReceived(now, f.count("neighbour"), f.bytes("contents"));
             case "COUNTED" -> brain.counterUpdated(
                     now, f.text("counter"), outcome(f.text("reason")), f.number("reading", 0));
-            default -> throw new WireFault("unknown message '" + name + "'");
+            default -> throw new FieldException("unknown message '" + name + "'");
         }
     }
 
@@ -158,14 +161,14 @@
                     case "F" -> HostListKind.FULL;
                     case "C" -> HostListKind.CACHED;
                     case "X" -> HostListKind.FAILED;
-                    default -> throw new WireFault("unknown list kind '" + how + "'");
+                    default -> throw new FieldException("unknown list kind '" + how + "'");
                 };
         List<Host> hosts = List.of();
         if (kind != HostListKind.FAILED) {
             int page = f.count("page");
             hosts = catalogs.get(page);
             if (hosts == null) {
-                throw new WireFault("no CATALOG with page " + page);
+                throw new FieldException("no CATALOG with page " + page);
             }
         }
         brain.hostsUpdated(now, kind, hosts);
@@ -177,7 +180,7 @@
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < members; i++) {
             if (!next() || !nameOf(line).equals("HOST")) {
-                throw new WireFault("expected " + members + " HOST lines, found " + i);
+                throw new FieldException("expected " + members + " HOST lines, found " + i);
             }
             Fields h = fields();
             hosts.add(new Host(
@@ -197,7 +200,7 @@
             case "Running" -> HostState.RUNNING;
             case "Stopping" -> HostState.DRAINING;
             case "Deleted" -> HostState.GONE;
-            default -> throw new WireFault("unknown host mode '" + word + "'");
+            default -> throw new FieldException("unknown host mode '" + word + "'");
         };
     }
 
@@ -211,7 +214,7 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELLED;
             case "Ignored" -> Outcome.NOT_SENT;
-            default -> throw new WireFault("unknown reason '" + word + "'");
+            default -> throw new FieldException("unknown reason '" + word + "'");
         };
     }
 }
--- a/src/test/java/caperrudder/wire/WireHostTest.java
+++ b/src/test/java/caperrudder/simulator/SimulatorAdapterTest.java
@@ -1,7 +1,8 @@
-package caperrudder.wire;
+package caperrudder.simulator;
 
 import static org.junit.jupiter.api.Assertions.*;
 
+import caperrudder.settings.FieldException;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.StringReader;
@@ -9,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter on literal lines. */
-class WireHostTest {
+class SimulatorAdapterTest {
     private static final String ATTACH = "ATTACH rng_seed=5 az=a balancers=1 classes.count=1 classes.0.effect=once "
             + "classes.0.goal_time_ms=1000.0 classes.0.hard_limit_ms=3000.0 classes.0.name=pay ordinal=0 "
             + "limits.max_attempts=3 plans.count=1 plans.0.name=basic plans.0.units_per_s=5.0 plans.0.depth=10.0 "
@@ -23,7 +24,7 @@
 
     private static String run(String input) throws IOException {
         StringWriter out = new StringWriter();
-        new WireHost(new BufferedReader(new StringReader(input)), out).run();
+        new SimulatorAdapter(new BufferedReader(new StringReader(input)), out).run();
         return out.toString();
     }
 
@@ -76,7 +77,7 @@
             {"BEGIN_BATCH moment_ms=1 turn=1\n", "line 2: input ended inside a batch"},
         };
         for (String[] c : cases) {
-            WireFault fault = assertThrows(WireFault.class, () -> run(c[0]), c[1]);
+            FieldException fault = assertThrows(FieldException.class, () -> run(c[0]), c[1]);
             assertEquals(c[1], fault.getMessage());
         }
     }
