--- a/src/main/java/caperrudder/Main.java
+++ b/src/main/java/caperrudder/Main.java
@@ -19,8 +19,9 @@
         }
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
-            case "serve" -> caperrudder.net.Node.main(System.getenv("NODE_CONFIG"), System.getenv("NODE_ADMIN_ADDR"));
-            case "rehearse" -> caperrudder.net.Rehearsal.run();
+            case "serve" -> caperrudder.server.GatewayServer.main(
+                    System.getenv("NODE_CONFIG"), System.getenv("NODE_ADMIN_ADDR"));
+            case "rehearse" -> caperrudder.server.StartupProfileRun.run();
             case "wirehost" -> caperrudder.simulator.SimulatorCommand.main(args);
             default -> {
                 System.err.println("usage: caperrudder serve | rehearse | wirehost | scale");
--- a/src/main/java/caperrudder/scale/HollowGateway.java
+++ b/src/main/java/caperrudder/scale/HollowGateway.java
@@ -3,8 +3,8 @@
 import caperrudder.api.HostListKind;
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.Settings;
-import caperrudder.net.HostLists;
 import caperrudder.policy.TrafficPolicy;
+import caperrudder.server.discovery.EndpointLists;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -20,7 +20,7 @@
     private final Outbox outbox = new Outbox();
     private final TrafficPolicy module = new TrafficPolicy(outbox);
     private final Outbox.Carrier carrier;
-    private HostLists lastRead;
+    private EndpointLists lastRead;
     private long nanos; // of the last event, as are the next two
     private long bytes;
     private long wallNanos;
@@ -42,7 +42,7 @@
         long readNanos = nanos;
         long readBytes = bytes;
         long readWallNanos = wallNanos;
-        HostLists list = lastRead;
+        EndpointLists list = lastRead;
         lastRead = null; // what is held later is the module's alone
         tell(telling, m -> m.hostsUpdated(nowMs, list.full() ? HostListKind.FULL : HostListKind.CHANGES, list.hosts()));
         both.add(readNanos + nanos, readBytes + bytes, readWallNanos + wallNanos);
@@ -50,7 +50,7 @@
 
     private void read(byte[] text) {
         try {
-            lastRead = HostLists.read(new ByteArrayInputStream(text));
+            lastRead = EndpointLists.read(new ByteArrayInputStream(text));
         } catch (IOException e) {
             throw new UncheckedIOException(e); // the stand-in's own text
         }
--- a/src/main/java/caperrudder/net/Reload.java
+++ b/src/main/java/caperrudder/server/ConfigurationReloader.java
@@ -1,29 +1,30 @@
-package caperrudder.net;
+package caperrudder.server;
 
+import caperrudder.server.config.GatewayConfig;
 import sun.misc.Signal;
 
 /**
  * SIGHUP: the file of the configuration was replaced. It is read on the signal's own thread, so that no request
  * waits for it, and a file that can't be used changes nothing.
  */
-final class Reload {
+final class ConfigurationReloader {
     private final String file;
-    private Node node;
+    private GatewayServer node;
     private boolean due; // SIGHUP came before there was a node to tell
 
-    private Reload(String file) {
+    private ConfigurationReloader(String file) {
         this.file = file;
     }
 
     /** Takes the signal from now on. Java has no other way to it than this class, which all its releases keep. */
     @SuppressWarnings("sunapi")
-    static Reload onHangup(String file) {
-        Reload reload = new Reload(file);
+    static ConfigurationReloader onHangup(String file) {
+        ConfigurationReloader reload = new ConfigurationReloader(file);
         Signal.handle(new Signal("HUP"), signal -> reload.again());
         return reload;
     }
 
-    synchronized void follow(Node started) {
+    synchronized void follow(GatewayServer started) {
         node = started;
         if (due) {
             again();
@@ -36,9 +37,9 @@
             return;
         }
         try {
-            node.reload(NodeConfig.readAgain(file));
-        } catch (NodeConfig.BadConfig e) {
-            Node.log("caperrudder: the settings stay as they were: " + e.getMessage());
+            node.reload(GatewayConfig.readAgain(file));
+        } catch (GatewayConfig.BadConfig e) {
+            GatewayServer.log("caperrudder: the settings stay as they were: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/caperrudder/net/Node.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server;
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.ClusterHealth;
@@ -10,6 +10,23 @@
 import caperrudder.api.Request;
 import caperrudder.api.Snapshot;
 import caperrudder.policy.TrafficPolicy;
+import caperrudder.server.admin.AdminServer;
+import caperrudder.server.admin.MetricsSnapshot;
+import caperrudder.server.admin.RequestCounters;
+import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.discovery.DiscoveryClient;
+import caperrudder.server.discovery.EndpointList;
+import caperrudder.server.downstream.DownstreamServer;
+import caperrudder.server.handover.ProcessHandover;
+import caperrudder.server.http.RequestBody;
+import caperrudder.server.runtime.Clock;
+import caperrudder.server.runtime.DescriptorBudget;
+import caperrudder.server.runtime.EventLoopLag;
+import caperrudder.server.runtime.FatalErrorHandler;
+import caperrudder.server.runtime.StreamBufferBudget;
+import caperrudder.server.runtime.Transport;
+import caperrudder.server.upstream.UpstreamAttempt;
+import caperrudder.server.upstream.UpstreamClient;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -38,7 +55,7 @@
  * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
  * table of open requests. It carries out what the module decides and tells it what came of it.
  */
-public final class Node implements PolicyActions, Succession.Party {
+public final class GatewayServer implements PolicyActions, ProcessHandover.Party {
     private static final long EXIT_MS = 3400; // after SIGTERM: the last bytes have had their time
     private static final long FIRST_LIST_MS = 500; // an agent nearby that serves has answered by then
     private static final long POLL_MS = 20; // how often a drain looks whether all is answered
@@ -56,27 +73,27 @@
         void send(int peer, byte[] data);
     }
 
-    final NodeConfig config;
-    final Clock clock = new Clock();
-    final Transport transport;
-    final NioEventLoopGroup group;
-    final EventLoop loop;
-    final LoopLag lag;
-    final Budget budget;
-    private final Descriptors alone;
-    private final Descriptors shared;
+    public final GatewayConfig config;
+    public final Clock clock = new Clock();
+    public final Transport transport;
+    public final NioEventLoopGroup group;
+    public final EventLoop loop;
+    public final EventLoopLag lag;
+    public final StreamBufferBudget budget;
+    private final DescriptorBudget alone;
+    private final DescriptorBudget shared;
     private final PolicyEvents module;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final Map<String, OpenRequest> open = new HashMap<>();
-    private final ClientServer clients;
-    private final HostClient hosts;
-    private final Discovery discovery;
-    private final PeerLink peers;
+    private final DownstreamServer clients;
+    private final UpstreamClient hosts;
+    private final DiscoveryClient discovery;
+    private final PeerTransport peers;
     private Mail mail;
-    private HostList known; // by the configuration, until the module has been told
+    private EndpointList known; // by the configuration, until the module has been told
     private final CountDownLatch drained = new CountDownLatch(1);
-    private final Tally tally;
-    private volatile Figures figures;
+    private final RequestCounters tally;
+    private volatile MetricsSnapshot figures;
     private volatile boolean listening;
     private boolean telling;
     private boolean serving; // before, what peers say is for the ears of a module that has not begun
@@ -85,64 +102,73 @@
     private boolean closing; // in a drain: all connections end with their next answer
     private boolean over; // the drain's time is up: nothing more is sent
 
-    Node(NodeConfig config) {
+    public GatewayServer(GatewayConfig config) {
         this(config, TrafficPolicy::new);
     }
 
     /** With a module of the caller's making. */
-    Node(NodeConfig config, Function<PolicyActions, PolicyEvents> maker) {
+    public GatewayServer(GatewayConfig config, Function<PolicyActions, PolicyEvents> maker) {
         this(config, maker, Transport.TCP, new NioEventLoopGroup(1));
     }
 
-    Node(NodeConfig config, Function<PolicyActions, PolicyEvents> maker, Transport transport, NioEventLoopGroup group) {
+    public GatewayServer(
+            GatewayConfig config,
+            Function<PolicyActions, PolicyEvents> maker,
+            Transport transport,
+            NioEventLoopGroup group) {
         this.config = config.withoutKnown();
         this.known = config.known();
         this.transport = transport;
         this.group = group;
         this.loop = group.next();
-        this.lag = new LoopLag(clock, loop);
-        this.budget = new Budget(config.memoryMb());
-        this.alone = Descriptors.alone(config.sockets());
-        this.shared = Descriptors.shared(config.sockets());
+        this.lag = new EventLoopLag(clock, loop);
+        this.budget = new StreamBufferBudget(config.memoryMb());
+        this.alone = DescriptorBudget.alone(config.sockets());
+        this.shared = DescriptorBudget.shared(config.sockets());
         this.module = maker.apply(this);
-        this.tally = new Tally(config.settings().classes());
-        this.figures = new Figures(tally.classes(), 0, 0, new ClusterHealth(0, 0));
-        this.clients = new ClientServer(this);
-        this.hosts = new HostClient(this);
-        this.discovery = new Discovery(this, config.known());
-        this.peers = new PeerLink(this);
+        this.tally = new RequestCounters(config.settings().classes());
+        this.figures = new MetricsSnapshot(tally.classes(), 0, 0, new ClusterHealth(0, 0));
+        this.clients = new DownstreamServer(this);
+        this.hosts = new UpstreamClient(this);
+        this.discovery = new DiscoveryClient(this, config.known());
+        this.peers = new PeerTransport(this);
         this.mail = peers;
     }
 
     /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
     public static void main(String configFile, String adminAddress) {
-        Fatal.arm();
+        FatalErrorHandler.arm();
         plainLogs();
-        Reload reload = Reload.onHangup(configFile); // first of all: SIGHUP ends a process that does not take it
+        ConfigurationReloader reload =
+                ConfigurationReloader.onHangup(configFile); // first of all: SIGHUP ends a process that does not take it
         try {
-            NodeConfig config = NodeConfig.read(configFile).withAdmin(adminAddress);
-            Node node = new Node(config);
-            Succession succession = new Succession(node, System.getenv("TMPDIR"), node.clock);
+            GatewayConfig config = GatewayConfig.read(configFile).withAdmin(adminAddress);
+            GatewayServer node = new GatewayServer(config);
+            ProcessHandover succession = new ProcessHandover(node, System.getenv("TMPDIR"), node.clock);
             // Before it listens: SIGTERM between the two would end the process with what it had just taken.
             Runtime.getRuntime().addShutdownHook(new Thread(() -> node.drainAndHalt(succession)));
             node.openSecondAddress();
             node.loop.execute(node.peers::start);
             succession.begin();
             log("warm after "
-                    + WarmUp.run(config, WarmUp.ENOUGH, succession.warmUpMs(WarmUp.PATIENCE_MS), node::isMissed)
+                    + StartupWarmUp.run(
+                            config,
+                            StartupWarmUp.ENOUGH,
+                            succession.warmUpMs(StartupWarmUp.PATIENCE_MS),
+                            node::isMissed)
                     + " answers");
             if (node.start(succession.left())) {
                 succession.serving();
                 reload.follow(node);
             }
-        } catch (NodeConfig.BadConfig | IOException | InterruptedException e) {
+        } catch (GatewayConfig.BadConfig | IOException | InterruptedException e) {
             System.err.println("caperrudder: " + e.getMessage());
             Runtime.getRuntime().halt(1);
         }
     }
 
     /** Returns once clients are served; false where it was told to end before. */
-    boolean start() throws IOException {
+    public boolean start() throws IOException {
         return start(null);
     }
 
@@ -184,15 +210,15 @@
     }
 
     /** Whether clients are taken: from the first moment on until the listener closes. */
-    boolean isReady() {
+    public boolean isReady() {
         return listening;
     }
 
-    Figures figures() {
+    public MetricsSnapshot figures() {
         return figures;
     }
 
-    Tally tally() {
+    public RequestCounters tally() {
         return tally;
     }
 
@@ -200,7 +226,7 @@
         loop.schedule(this::renewFigures, FIGURES_MS, TimeUnit.MILLISECONDS);
         long current =
                 open.values().stream().filter(r -> !r.closed() && r.isWhole()).count();
-        figures = new Figures(tally.classes(), tally.sends(), current, module.clusterHealth(clock.now()));
+        figures = new MetricsSnapshot(tally.classes(), tally.sends(), current, module.clusterHealth(clock.now()));
     }
 
     /** Whether the fleet serves clients, which would come here, too, rather than wait for this gateway's full speed. */
@@ -238,7 +264,7 @@
      * One plain line for each thing that netty warns of. The system's own handler reads the time zones' file for
      * its first line, and where that line says that no descriptor is left, this would end the event loop.
      */
-    static void plainLogs() {
+    public static void plainLogs() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         Logger root = Logger.getLogger("");
         for (Handler h : root.getHandlers()) {
@@ -247,7 +273,7 @@
         root.addHandler(new Handler() {
             @Override
             public void publish(LogRecord r) {
-                Fatal.check(r.getThrown());
+                FatalErrorHandler.check(r.getThrown());
                 log(r.getLevel() + " " + r.getMessage() + (r.getThrown() == null ? "" : " " + r.getThrown()));
             }
 
@@ -265,11 +291,11 @@
     }
 
     /** Takes from a new configuration what may change while clients are served; the rest waits for a restart. */
-    void reload(NodeConfig fresh) {
+    public void reload(GatewayConfig fresh) {
         loop.execute(() -> discovery.move(fresh.discovery()));
     }
 
-    static void log(String line) {
+    public static void log(String line) {
         System.err.println(line);
     }
 
@@ -310,7 +336,7 @@
                     log("defect: the module threw " + e);
                     e.printStackTrace();
                 } catch (Error e) {
-                    Fatal.check(e);
+                    FatalErrorHandler.check(e);
                     throw e;
                 }
             }
@@ -320,26 +346,26 @@
     }
 
     /** Whether nobody will serve at this address soon. */
-    boolean ending() {
+    public boolean ending() {
         return ending;
     }
 
     /** What this process may use: half of the sockets, while another shares them. */
-    Descriptors descriptors() {
+    public DescriptorBudget descriptors() {
         return beside ? shared : alone;
     }
 
-    boolean closing() {
+    public boolean closing() {
         return closing;
     }
 
     /** Whether a request of this id is open: a second one would be answered with what was made for the first. */
-    boolean knows(String id) {
+    public boolean knows(String id) {
         return open.containsKey(id);
     }
 
     /** Takes a request from its client, whole or with its body on its way; the entry owns the message from here on. */
-    void taken(Request r, HttpRequest head, RequestBody body, ClientServer.Connection client) {
+    public void taken(Request r, HttpRequest head, RequestBody body, DownstreamServer.Connection client) {
         OpenRequest entry = new OpenRequest(r, head, body, client);
         open.put(r.id(), entry);
         client.holds(entry);
@@ -354,13 +380,13 @@
     }
 
     /** The last byte has come of a request that was taken before. */
-    void whole(OpenRequest r) {
+    public void whole(OpenRequest r) {
         r.beginsAt(clock.now() - lag.ms());
         guard(r);
         tell((now, m) -> m.requestCompleted(now, r.request.id(), r.deadlineMs()));
     }
 
-    void bodyLeft(Attempt a) {
+    public void bodyLeft(UpstreamAttempt a) {
         tell((now, m) -> m.requestNotReplayable(now, a.owner.request.id()));
     }
 
@@ -368,7 +394,7 @@
         return (long) (Math.max(0, ms) * MICROS_PER_MS);
     }
 
-    boolean full() {
+    public boolean full() {
         return open.size() >= config.maxOpen();
     }
 
@@ -381,12 +407,12 @@
         endAttempts(r); // a short answer that goes on and on is none: its client sees that it is not whole
         if (!r.closed()) {
             log("defect: no answer from the module in time, request failed");
-            answer(r, Tally.End.ERRORED, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
+            answer(r, RequestCounters.End.ERRORED, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
         }
     }
 
     private void endAttempts(OpenRequest r) {
-        for (Attempt a : List.copyOf(r.attempts)) {
+        for (UpstreamAttempt a : List.copyOf(r.attempts)) {
             if (!a.ended) {
                 a.abandon();
                 attemptEnded(a, Outcome.TIMEOUT, null);
@@ -394,11 +420,11 @@
         }
     }
 
-    void clientLeft(OpenRequest r) {
+    public void clientLeft(OpenRequest r) {
         if (r.closed()) {
             return;
         }
-        r.close(tally, Tally.End.ERRORED);
+        r.close(tally, RequestCounters.End.ERRORED);
         tell((now, m) -> m.clientDisconnected(now, r.request.id()));
         if (r.passing != null) {
             r.passing.abandon();
@@ -408,12 +434,12 @@
     }
 
     /** Whether a client waits for it: asked before anything is sent, however late the loop comes to its sockets. */
-    boolean isAwaited(OpenRequest r) {
+    public boolean isAwaited(OpenRequest r) {
         return !r.closed() && r.client().stays();
     }
 
     /** An answer begins that is passed on as it comes; false where the client has its answer or is gone. */
-    boolean answerBegun(Attempt a, HttpResponse head) {
+    public boolean answerBegun(UpstreamAttempt a, HttpResponse head) {
         OpenRequest r = a.owner;
         if (a.ended || r.closed()) {
             return false;
@@ -424,8 +450,8 @@
         return true;
     }
 
-    void answerPart(Attempt a, ByteBuf part) {
-        ClientServer.Connection client = a.owner.client();
+    public void answerPart(UpstreamAttempt a, ByteBuf part) {
+        DownstreamServer.Connection client = a.owner.client();
         if (client == null) {
             part.release();
         } else {
@@ -434,7 +460,7 @@
     }
 
     /** The end of an attempt, told once; the first whole 200 goes to the client unchanged. */
-    void attemptEnded(Attempt a, Outcome outcome, FullHttpResponse response) {
+    public void attemptEnded(UpstreamAttempt a, Outcome outcome, FullHttpResponse response) {
         if (a.ended) {
             return;
         }
@@ -443,13 +469,13 @@
         OpenRequest r = a.owner;
         r.out--;
         if (r.passing == a) {
-            ClientServer.Connection client =
-                    r.close(tally, outcome == Outcome.OK ? Tally.End.ANSWERED : Tally.End.ERRORED);
+            DownstreamServer.Connection client =
+                    r.close(tally, outcome == Outcome.OK ? RequestCounters.End.ANSWERED : RequestCounters.End.ERRORED);
             if (client != null) {
                 client.end(outcome == Outcome.OK);
             }
         } else if (outcome == Outcome.OK) {
-            ClientServer.Connection client = r.close(tally, Tally.End.ANSWERED);
+            DownstreamServer.Connection client = r.close(tally, RequestCounters.End.ANSWERED);
             if (client != null) {
                 client.serve(response);
             }
@@ -458,7 +484,7 @@
         double took = a.took(clock.now());
         HttpResponse told = a.told(response);
         double[] report = told == null ? NO_REPORT : hosts.report(told);
-        int used = told == null ? 0 : HostClient.used(told);
+        int used = told == null ? 0 : UpstreamClient.used(told);
         tell((now, m) -> m.attemptEnded(
                 now, new AttemptResult(r.request.id(), a.number, a.host, outcome, took, closed, used, 0, report)));
         forgetIfOver(r);
@@ -473,18 +499,18 @@
         }
     }
 
-    boolean knowsHosts() {
+    public boolean knowsHosts() {
         return hosts.known();
     }
 
-    void hostsTold(HostListKind kind, List<HostList.Entry> entries) {
+    public void hostsTold(HostListKind kind, List<EndpointList.Entry> entries) {
         hosts.listed(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
         tell((now, m) -> m.hostsUpdated(now, kind, list));
     }
 
-    void probed(String host, Outcome outcome, double took, double[] report) {
+    public void probed(String host, Outcome outcome, double took, double[] report) {
         tell((now, m) -> m.healthCheckEnded(now, host, outcome, took, report));
     }
 
@@ -503,7 +529,7 @@
             return;
         }
         double now = clock.now();
-        Attempt a = new Attempt(this, r, host, now);
+        UpstreamAttempt a = new UpstreamAttempt(this, r, host, now);
         r.attempts.add(a);
         r.out++;
         if (!isAwaited(r)) {
@@ -534,23 +560,23 @@
         if (r == null || attempt < 0 || attempt >= r.attempts.size() || r.attempts.get(attempt).ended) {
             return;
         }
-        Attempt a = r.attempts.get(attempt);
+        UpstreamAttempt a = r.attempts.get(attempt);
         a.abandon();
         attemptEnded(a, Outcome.CANCELLED, null);
     }
 
     @Override
     public void reject(String id, double retryAfterMs) {
-        answer(open.get(id), Tally.End.DEFERRED, HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
+        answer(open.get(id), RequestCounters.End.DEFERRED, HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
 
     @Override
     public void fail(String id) {
-        answer(open.get(id), Tally.End.ERRORED, HttpResponseStatus.BAD_GATEWAY, 0);
+        answer(open.get(id), RequestCounters.End.ERRORED, HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
-    private void answer(OpenRequest r, Tally.End end, HttpResponseStatus status, double retryAfterMs) {
-        ClientServer.Connection client = r == null ? null : r.close(tally, end);
+    private void answer(OpenRequest r, RequestCounters.End end, HttpResponseStatus status, double retryAfterMs) {
+        DownstreamServer.Connection client = r == null ? null : r.close(tally, end);
         if (client != null) {
             client.answer(status, retryAfterMs);
         }
@@ -586,7 +612,7 @@
 
     // ---- the end
 
-    private void drainAndHalt(Succession succession) {
+    private void drainAndHalt(ProcessHandover succession) {
         boolean succeeded = succession.isSucceeded();
         loop.execute(() -> end(succeeded));
         try {
@@ -612,7 +638,7 @@
     /** Accepts and serves on for a while, since clients still come; answers all; then lets the process end. */
     void drain() {
         ending = true;
-        DrainTimes times = DrainTimes.of(config.settings().classes());
+        DrainTimings times = DrainTimings.of(config.settings().classes());
         loop.schedule(this::stopAccepting, times.acceptMs(), TimeUnit.MILLISECONDS);
         loop.schedule(this::stopServing, times.serveMs(), TimeUnit.MILLISECONDS);
         loop.schedule(this::endAll, times.endMs(), TimeUnit.MILLISECONDS);
@@ -623,12 +649,12 @@
         log("gives way to its successor");
         closing = true;
         stopAccepting().addListener(f -> awaitEmpty()); // those who waited are taken by then
-        DrainTimes times = DrainTimes.of(config.settings().classes());
+        DrainTimings times = DrainTimings.of(config.settings().classes());
         loop.schedule(this::stopServing, times.serveMs(), TimeUnit.MILLISECONDS);
         loop.schedule(this::endAll, times.endMs(), TimeUnit.MILLISECONDS);
     }
 
-    ChannelFuture stopAccepting() {
+    public ChannelFuture stopAccepting() {
         listening = false;
         return clients.stopAccepting();
     }
@@ -650,7 +676,7 @@
         }
         for (OpenRequest r : List.copyOf(open.values())) {
             if (!r.closed() && r.passing == null) { // still held
-                answer(r, Tally.End.ERRORED, HttpResponseStatus.BAD_GATEWAY, 0);
+                answer(r, RequestCounters.End.ERRORED, HttpResponseStatus.BAD_GATEWAY, 0);
             }
         }
     }
@@ -668,12 +694,12 @@
     }
 
     /** The port of the listener, where the configuration left it to the system. */
-    int port() {
+    public int port() {
         return ((java.net.InetSocketAddress) clients.listener().localAddress()).getPort();
     }
 
     /** Ends everything at once and answers nothing. */
-    void stop() {
+    public void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 }
--- a/src/main/java/caperrudder/net/PeerLink.java
+++ b/src/main/java/caperrudder/server/PeerTransport.java
@@ -1,5 +1,6 @@
-package caperrudder.net;
+package caperrudder.server;
 
+import caperrudder.server.runtime.FatalErrorHandler;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -15,16 +16,16 @@
 import java.util.Map;
 
 /** Messages between api gateways: datagrams, which may come late, damaged, from strangers or not at all. */
-final class PeerLink extends SimpleChannelInboundHandler<DatagramPacket> implements Node.Mail {
+final class PeerTransport extends SimpleChannelInboundHandler<DatagramPacket> implements GatewayServer.Mail {
     private static final int MAX_BYTES = 256;
     private static final int EVERYONE = -1;
 
-    private final Node node;
+    private final GatewayServer node;
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
     private boolean heard;
     private Channel channel;
 
-    PeerLink(Node node) {
+    PeerTransport(GatewayServer node) {
         this.node = node;
         for (int i = 0; i < node.config.peers().size(); i++) {
             numbers.put(node.config.peers().get(i), i);
@@ -44,7 +45,7 @@
                 .bind(node.config.peerListen())
                 .addListener(f -> {
                     if (!f.isSuccess()) {
-                        Node.log("no messages from peers: " + f.cause().getMessage());
+                        GatewayServer.log("no messages from peers: " + f.cause().getMessage());
                     }
                 })
                 .channel();
@@ -85,6 +86,6 @@
     /** A lost message is normal, and so is an error that an earlier one brought back. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Fatal.check(cause);
+        FatalErrorHandler.check(cause);
     }
 }
--- a/src/main/java/caperrudder/net/Rehearsal.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -1,5 +1,9 @@
-package caperrudder.net;
+package caperrudder.server;
 
+import caperrudder.server.admin.AdminServer;
+import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.handover.ProcessHandover;
+import caperrudder.server.handover.SnapshotCodec;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -14,7 +18,7 @@
  * One short life of a node that is its own host, peer and discovery, so that each part runs once. The build keeps
  * the classes that it loads in an archive, from which a restarted node starts in half the time.
  */
-public final class Rehearsal {
+public final class StartupProfileRun {
     private static final int ENOUGH = 64; // bytes that hold a status line
     private static final int PATIENCE_MS = 10_000;
     private static final long BUILD_PATIENCE_MS = 60_000; // a build's machine may be slow, but a stall fails it
@@ -34,24 +38,25 @@
             + "X-Customer: 00000000b4d65521\r\nX-Expires-In-Ms: 600\r\nX-Quota: units=1,spread=%d,first=0\r\n"
             + "Connection: close\r\n\r\n";
 
-    private Rehearsal() {}
+    private StartupProfileRun() {}
 
     /** Returns when all has been gone through. */
     public static void run() throws IOException, InterruptedException {
-        Node.plainLogs();
+        GatewayServer.plainLogs();
         int port;
         try (java.net.ServerSocket free = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         String address = at.getAddress().getHostAddress() + ':' + port;
-        NodeConfig config = NodeConfig.read(
+        GatewayConfig config = GatewayConfig.read(
                 new ByteArrayInputStream(CONFIG.formatted(address).getBytes(StandardCharsets.UTF_8)), true);
-        Node node = new Node(config);
-        Reload.onHangup("");
+        GatewayServer node = new GatewayServer(config);
+        ConfigurationReloader.onHangup("");
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try (AdminServer admin = new AdminServer(any, config.sockets(), node::isReady, node::figures)) {
-            if (WarmUp.run(config, WarmUp.ENOUGH, BUILD_PATIENCE_MS, () -> false) < WarmUp.ENOUGH) {
+            if (StartupWarmUp.run(config, StartupWarmUp.ENOUGH, BUILD_PATIENCE_MS, () -> false)
+                    < StartupWarmUp.ENOUGH) {
                 throw new IOException("the warm-up came to a halt");
             }
             node.start();
@@ -69,14 +74,14 @@
         }
     }
 
-    private static void follow(Node node) throws IOException, InterruptedException, ExecutionException {
+    private static void follow(GatewayServer node) throws IOException, InterruptedException, ExecutionException {
         Path shared = Files.createTempDirectory(Path.of("target"), "rehearsal");
-        Succession succession = new Succession(node, shared.toString(), node.clock);
+        ProcessHandover succession = new ProcessHandover(node, shared.toString(), node.clock);
         succession.begin();
         succession.serving();
         if (succession.left() != null
                 || succession.isSucceeded()
-                || BooksFormat.read(BooksFormat.write(node.books())) == null) {
+                || SnapshotCodec.read(SnapshotCodec.write(node.books())) == null) {
             throw new IOException("books can't be read");
         }
         succession.end();
--- a/src/main/java/caperrudder/net/WarmUp.java
+++ b/src/main/java/caperrudder/server/StartupWarmUp.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server;
 
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
@@ -9,6 +9,10 @@
 import caperrudder.api.Settings;
 import caperrudder.api.Sharing;
 import caperrudder.policy.TrafficPolicy;
+import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.discovery.EndpointList;
+import caperrudder.server.downstream.RequestParser;
+import caperrudder.server.runtime.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -50,7 +54,7 @@
  * <p>It also covers a start on a whole core. It could hurt where gateways restart one after another, since the longer
  * absence of each leaves few of them: it ends at once where the fleet turns out to serve, and at a time limit.
  */
-final class WarmUp {
+final class StartupWarmUp {
     /** Answers after which nearly all that a request needs is compiled: methods are from some 50 calls on. */
     static final int ENOUGH = 60;
 
@@ -69,12 +73,12 @@
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final Transport TRANSPORT = Transport.MEMORY;
 
-    private final NodeConfig config;
+    private final GatewayConfig config;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     /** Another loop: what both sides of a channel in memory do on one, they do from inside each other. */
     private final NioEventLoopGroup outside = new NioEventLoopGroup(1);
 
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<GatewayServer> nodes = new ArrayList<>();
     private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
     private final ChannelGroup hosts = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
     private final CountDownLatch left;
@@ -83,15 +87,15 @@
     private int asked;
     private int served;
 
-    private WarmUp(NodeConfig config, int answers) {
+    private StartupWarmUp(GatewayConfig config, int answers) {
         this.config = config;
         this.left = new CountDownLatch(answers);
     }
 
     /** Returns how many answers came of those wanted; fewer where the time was up. */
-    static int run(NodeConfig config, int answers, long patienceMs, BooleanSupplier enough)
+    static int run(GatewayConfig config, int answers, long patienceMs, BooleanSupplier enough)
             throws InterruptedException {
-        WarmUp warmUp = new WarmUp(config, answers);
+        StartupWarmUp warmUp = new StartupWarmUp(config, answers);
         try {
             warmUp.start();
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
@@ -114,7 +118,7 @@
     private void close() throws InterruptedException {
         over = true;
         clients.close().await();
-        group.submit(() -> nodes.forEach(Node::endAll)).await();
+        group.submit(() -> nodes.forEach(GatewayServer::endAll)).await();
         hosts.close().await();
         group.submit(() -> {}).await();
     }
@@ -128,10 +132,10 @@
     }
 
     private void start() throws InterruptedException {
-        List<HostList.Entry> list = new ArrayList<>();
+        List<EndpointList.Entry> list = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
             InetSocketAddress at = hostAddress(i);
-            list.add(new HostList.Entry(
+            list.add(new EndpointList.Entry(
                     new Host("warm-" + i, config.settings().zone(), "", 0, HostState.RUNNING, 1, 0), at));
             TRANSPORT
                     .server(outside)
@@ -146,9 +150,9 @@
                     .sync();
         }
         for (int me = 0; me < 2; me++) {
-            nodes.add(new Node(of(me), TrafficPolicy::new, TRANSPORT, group));
+            nodes.add(new GatewayServer(of(me), TrafficPolicy::new, TRANSPORT, group));
         }
-        for (Node node : nodes) {
+        for (GatewayServer node : nodes) {
             int me = node.config.settings().gatewayIndex();
             node.linkBy((peer, data) -> group.execute(() -> nodes.get(1 - me).peerSaid(me, data)));
             group.submit(() -> node.listen()).sync().getNow().sync();
@@ -162,7 +166,7 @@
     }
 
     /** The settings of this node, but for a fleet of two that may say all to each other at once. */
-    private NodeConfig of(int me) {
+    private GatewayConfig of(int me) {
         Settings s = config.settings();
         Sharing sharing = s.sharing();
         Sharing quick = new Sharing(
@@ -187,7 +191,7 @@
                 s.limits(),
                 s.rules(),
                 quick);
-        return new NodeConfig(
+        return new GatewayConfig(
                 address(me),
                 null,
                 null,
@@ -263,12 +267,12 @@
         List<Plan> plans = config.settings().plans();
         r.headers()
                 .set(HttpHeaderNames.HOST, "warm")
-                .set(RequestTerms.ID, Integer.toString(n))
-                .set(RequestTerms.PLAN, plans.get(customer % plans.size()).name())
-                .set(RequestTerms.CUSTOMER, String.format("%016x", customer))
-                .set(RequestTerms.EXPIRES, Integer.toString((int) cls.deadlineMs()))
-                .set(RequestTerms.QUOTA, "units=1,spread=" + (1 + customer % 2) + ",first=0")
-                .set(RequestTerms.KEY, Integer.toString(n))
+                .set(RequestParser.ID, Integer.toString(n))
+                .set(RequestParser.PLAN, plans.get(customer % plans.size()).name())
+                .set(RequestParser.CUSTOMER, String.format("%016x", customer))
+                .set(RequestParser.EXPIRES, Integer.toString((int) cls.deadlineMs()))
+                .set(RequestParser.QUOTA, "units=1,spread=" + (1 + customer % 2) + ",first=0")
+                .set(RequestParser.KEY, Integer.toString(n))
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, r.content().readableBytes());
         return r;
     }
--- a/src/main/java/caperrudder/net/AdminServer.java
+++ b/src/main/java/caperrudder/server/admin/AdminServer.java
@@ -1,5 +1,8 @@
-package caperrudder.net;
+package caperrudder.server.admin;
 
+import caperrudder.server.runtime.DescriptorBudget;
+import caperrudder.server.runtime.FatalErrorHandler;
+import caperrudder.server.runtime.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -35,7 +38,7 @@
  * The second address, for the platform and the staff: one call to a connection. It has a thread of its own, so that
  * it answers in time whatever the event loop that serves clients is busy with.
  */
-final class AdminServer implements Closeable {
+public final class AdminServer implements Closeable {
     private static final String READY = "/api/ready";
     private static final String TELEMETRY = "/api/telemetry";
     private static final String ALLOWED = "GET, HEAD";
@@ -44,18 +47,18 @@
     private static final int BACKLOG = 128;
 
     private final BooleanSupplier ready;
-    private final Supplier<Figures> figures;
+    private final Supplier<MetricsSnapshot> figures;
     private final int maxConnections;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final LinkedHashSet<Channel> waiting = new LinkedHashSet<>(); // no whole call yet; the oldest first
     private final Channel listener;
 
     /** Listens at once; {@code ready} and {@code figures} are asked on this address's own thread. */
-    AdminServer(InetSocketAddress at, int sockets, BooleanSupplier ready, Supplier<Figures> figures)
+    public AdminServer(InetSocketAddress at, int sockets, BooleanSupplier ready, Supplier<MetricsSnapshot> figures)
             throws IOException {
         this.ready = ready;
         this.figures = figures;
-        this.maxConnections = Descriptors.alone(sockets).secondAddress();
+        this.maxConnections = DescriptorBudget.alone(sockets).secondAddress();
         try {
             listener = new ServerBootstrap()
                     .group(group)
@@ -81,7 +84,7 @@
         }
     }
 
-    int port() {
+    public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
@@ -164,7 +167,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            Fatal.check(cause);
+            FatalErrorHandler.check(cause);
             ctx.close();
         }
     }
--- a/src/main/java/caperrudder/net/Figures.java
+++ b/src/main/java/caperrudder/server/admin/MetricsSnapshot.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.admin;
 
 import caperrudder.api.ClusterHealth;
 import java.util.List;
@@ -7,9 +7,9 @@
  * What this process has done since its start and what it has in hand, at one moment. Immutable: the only thing that
  * crosses from the event loop to the second address.
  */
-record Figures(List<Ended> classes, long sends, long current, ClusterHealth cluster) {
+public record MetricsSnapshot(List<Ended> classes, long sends, long current, ClusterHealth cluster) {
     /** How the requests of one class ended. */
-    record Ended(String name, long answered, long deferred, long errored) {}
+    public record Ended(String name, long answered, long deferred, long errored) {}
 
     /** In the text form that scrapers of figures read. */
     String text() {
--- a/src/main/java/caperrudder/net/Tally.java
+++ b/src/main/java/caperrudder/server/admin/RequestCounters.java
@@ -1,7 +1,7 @@
-package caperrudder.net;
+package caperrudder.server.admin;
 
 import caperrudder.api.RequestClass;
-import caperrudder.net.Figures.Ended;
+import caperrudder.server.admin.MetricsSnapshot.Ended;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /** The counts of one process, from 0 at its start. On the event loop only. */
-final class Tally {
+public final class RequestCounters {
     /** How a request ended. */
-    enum End {
+    public enum End {
         ANSWERED,
         DEFERRED,
         ERRORED
@@ -20,23 +20,23 @@
     private final Map<String, Map<End, Long>> ends = new LinkedHashMap<>();
     private long sends;
 
-    Tally(List<RequestClass> classes) {
+    public RequestCounters(List<RequestClass> classes) {
         classes.forEach(c -> ends.put(c.name(), new EnumMap<>(End.class)));
     }
 
-    void ended(String requestClass, End end) {
+    public void ended(String requestClass, End end) {
         ends.get(requestClass).merge(end, 1L, Long::sum);
     }
 
-    void sent() {
+    public void sent() {
         sends++;
     }
 
-    long sends() {
+    public long sends() {
         return sends;
     }
 
-    List<Ended> classes() {
+    public List<Ended> classes() {
         List<Ended> all = new ArrayList<>(ends.size());
         ends.forEach((name, n) -> all.add(new Ended(
                 name,
--- a/src/main/java/caperrudder/net/NodeConfig.java
+++ b/src/main/java/caperrudder/server/config/GatewayConfig.java
@@ -1,6 +1,10 @@
-package caperrudder.net;
+package caperrudder.server.config;
 
 import caperrudder.api.Settings;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.discovery.EndpointList;
+import caperrudder.server.discovery.EndpointListParser;
+import caperrudder.server.discovery.EndpointListReader;
 import caperrudder.settings.FieldException;
 import caperrudder.settings.Fields;
 import caperrudder.settings.SettingsReader;
@@ -25,7 +29,7 @@
  * What this api gateway was told at its start; anything missing or malformed is a {@link BadConfig}. {@code known} is
  * null where no list was told, or one too long.
  */
-record NodeConfig(
+public record GatewayConfig(
         InetSocketAddress listen,
         InetSocketAddress admin,
         InetSocketAddress discovery,
@@ -34,7 +38,7 @@
         InetSocketAddress peersAll,
         int sockets,
         int memoryMb,
-        HostList known,
+        EndpointList known,
         Settings settings,
         double connectTimeoutMs,
         double idleMs,
@@ -49,7 +53,7 @@
     private static final double DEFAULT_MAX_OPEN = 20_000;
 
     /** One plain line on what is wrong with the configuration. */
-    static final class BadConfig extends Exception {
+    public static final class BadConfig extends Exception {
         private static final long serialVersionUID = 1L;
 
         BadConfig(String message) {
@@ -57,16 +61,16 @@
         }
     }
 
-    static NodeConfig read(String file) throws BadConfig {
+    public static GatewayConfig read(String file) throws BadConfig {
         return read(file, true);
     }
 
     /** Without the list of hosts, which is of use at a start alone. */
-    static NodeConfig readAgain(String file) throws BadConfig {
+    public static GatewayConfig readAgain(String file) throws BadConfig {
         return read(file, false);
     }
 
-    private static NodeConfig read(String file, boolean withKnown) throws BadConfig {
+    private static GatewayConfig read(String file, boolean withKnown) throws BadConfig {
         if (file == null || file.isEmpty()) {
             throw new BadConfig("NODE_CONFIG names no file");
         }
@@ -80,10 +84,10 @@
         }
     }
 
-    static NodeConfig read(InputStream text, boolean withKnown) throws IOException {
-        HostList[] known = new HostList[1];
+    public static GatewayConfig read(InputStream text, boolean withKnown) throws IOException {
+        EndpointList[] known = new EndpointList[1];
         return of(
-                JsonTree.read(text, (field, at) -> {
+                JsonTreeReader.read(text, (field, at) -> {
                     if (field.equals(KNOWN)) {
                         known[0] = withKnown ? known(at) : null;
                         return withKnown || at.skipChildren() != null;
@@ -94,26 +98,26 @@
     }
 
     /** Read without a tree, since it may be longer than all else by far; null where there is none, or too long a one. */
-    private static HostList known(JsonParser at) throws IOException {
+    private static EndpointList known(JsonParser at) throws IOException {
         long from = at.currentTokenLocation().getByteOffset();
         int depth = at.getParsingContext().getNestingDepth();
         try {
-            return HostListBuilder.read(at, HostListReader.limitBytes());
-        } catch (HostList.TooLong e) {
+            return EndpointListParser.read(at, EndpointListReader.limitBytes());
+        } catch (EndpointList.TooLong e) {
             JsonToken token = at.currentToken();
             while (token != null
                     && !(token.isStructEnd() && at.getParsingContext().getNestingDepth() < depth)) {
                 token = at.nextToken();
             }
-            Node.log("caperrudder: the list in '" + KNOWN + "' is refused, which is "
+            GatewayServer.log("caperrudder: the list in '" + KNOWN + "' is refused, which is "
                     + (at.currentLocation().getByteOffset() - from) + " bytes long: " + e.getMessage());
             return null;
         }
     }
 
     /** Without the list of hosts, once it has been told: it would stay in memory as long as this. */
-    NodeConfig withoutKnown() {
-        return new NodeConfig(
+    public GatewayConfig withoutKnown() {
+        return new GatewayConfig(
                 listen,
                 admin,
                 discovery,
@@ -130,12 +134,12 @@
     }
 
     /** With a second address that was told to this process alone, where it was told one. */
-    NodeConfig withAdmin(String address) throws BadConfig {
+    public GatewayConfig withAdmin(String address) throws BadConfig {
         if (address == null || address.isEmpty()) {
             return this;
         }
         try {
-            return new NodeConfig(
+            return new GatewayConfig(
                     listen,
                     address(address),
                     discovery,
@@ -154,13 +158,13 @@
         }
     }
 
-    static NodeConfig of(JsonNode root) throws IOException {
+    public static GatewayConfig of(JsonNode root) throws IOException {
         try (JsonParser known = root.path(KNOWN).traverse()) {
-            return of(root, HostListBuilder.read(known, HostListReader.limitBytes()));
+            return of(root, EndpointListParser.read(known, EndpointListReader.limitBytes()));
         }
     }
 
-    private static NodeConfig of(JsonNode root, HostList known) {
+    private static GatewayConfig of(JsonNode root, EndpointList known) {
         if (!root.isObject()) {
             throw new IllegalArgumentException("not a JSON object");
         }
@@ -174,7 +178,7 @@
             peers.add(address(peer.asText()));
         }
         boolean mail = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
-        return new NodeConfig(
+        return new GatewayConfig(
                 address(text(root, "listen")),
                 root.hasNonNull("admin_addr") ? address(text(root, "admin_addr")) : null,
                 address(text(root, "discovery")),
@@ -218,7 +222,7 @@
     }
 
     /** Numbers and a port: there are no names to look up. */
-    static InetSocketAddress address(String text) {
+    public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (ip == null) {
--- a/src/main/java/caperrudder/net/JsonTree.java
+++ b/src/main/java/caperrudder/server/config/JsonTreeReader.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParseException;
@@ -17,11 +17,11 @@
  * JSON text as a tree, put together from the parser's tokens. The library's own mapper does the same and much else,
  * for which it sets up date formats, locales and introspection: a quarter of the processor time of a start.
  */
-final class JsonTree {
+public final class JsonTreeReader {
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private JsonTree() {}
+    private JsonTreeReader() {}
 
     /** Takes fields of the outermost object that are not to become part of its tree. */
     interface Branch {
@@ -30,7 +30,7 @@
     }
 
     /** The first value of the text; a missing node where there is none. The parser bounds how deep it may nest. */
-    static JsonNode read(InputStream text) throws IOException {
+    public static JsonNode read(InputStream text) throws IOException {
         return read(text, (field, at) -> false);
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** The value of one token that is neither a bracket nor a name. */
-    static ValueNode scalar(JsonParser parser, JsonToken token) throws IOException {
+    public static ValueNode scalar(JsonParser parser, JsonToken token) throws IOException {
         switch (token) {
             case VALUE_STRING:
                 return NODES.textNode(parser.getText());
--- a/src/main/java/caperrudder/net/Discovery.java
+++ b/src/main/java/caperrudder/server/discovery/DiscoveryClient.java
@@ -1,6 +1,9 @@
-package caperrudder.net;
+package caperrudder.server.discovery;
 
 import caperrudder.api.HostListKind;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.downstream.RequestParser;
+import caperrudder.server.runtime.FatalErrorHandler;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -39,7 +42,7 @@
  * silent another is made, and whichever is answered first goes on: a call that only waits in line keeps its turn, and
  * one that an agent left unanswered while it was cut off may still be answered at its return.
  */
-final class Discovery {
+public final class DiscoveryClient {
     private static final long NONE = -1;
     private static final String PATH = "/v1/servers";
     private static final double MS_PER_SECOND = 1000;
@@ -51,8 +54,8 @@
 
     private static final int FIRST_SLICE_BYTES = 2 * 1024; // of an answer: most lists are short
 
-    private final Node node;
-    private final DiscoveryTimes times;
+    private final GatewayServer node;
+    private final DiscoveryTimings times;
     private InetSocketAddress agent;
     private Calls current; // what an earlier one still hears or fails is of no interest
     private Calls beside; // asked because the current one is silent, or null
@@ -62,10 +65,10 @@
     private long version; // of the list that is held; NONE where the whole list is still to come
 
     /** {@code known}: the list that is held from the start on, or null. */
-    Discovery(Node node, HostList known) {
+    public DiscoveryClient(GatewayServer node, EndpointList known) {
         this.node = node;
         this.agent = node.config.discovery();
-        this.times = new DiscoveryTimes(
+        this.times = new DiscoveryTimings(
                 !node.config.settings().subscribesToHosts(),
                 node.config.settings().rules().drainGraceMs(),
                 node.config.settings().seed());
@@ -77,19 +80,19 @@
      * Of a list that holds something; where a fleet starts, all ask, and what changed since is a fraction of the
      * whole list. It would be wrong only where an agent numbers anew, which is told by a whole list or an error.
      */
-    private static long versionOf(HostList known) {
+    private static long versionOf(EndpointList known) {
         return known == null || known.entries().isEmpty() ? NONE : known.version();
     }
 
     /** Done with the first answer; after {@code patienceMs} without one, too. */
-    Future<Void> start(long patienceMs) {
+    public Future<Void> start(long patienceMs) {
         current = open(true); // an answer at once, also where nothing is new
         node.loop.schedule(() -> heard.trySuccess(null), patienceMs, TimeUnit.MILLISECONDS);
         return heard;
     }
 
     /** Turns to another agent, whose versions need not go on from those of the old one: the whole list is due. */
-    void move(InetSocketAddress to) {
+    public void move(InetSocketAddress to) {
         if (to.equals(agent)) {
             return;
         }
@@ -113,7 +116,7 @@
                 .group(node.loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTimes.CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTimings.CONNECT_MS)
                 .option(ChannelOption.RCVBUF_ALLOCATOR, slices())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -189,7 +192,7 @@
     /** For how long an answer asks to stay away; 0 where it does not say. */
     private static double toldMs(HttpResponse response) {
         String text = response.headers().get(HttpHeaderNames.RETRY_AFTER);
-        return Math.max(0, MS_PER_SECOND * RequestTerms.plain(text, true));
+        return Math.max(0, MS_PER_SECOND * RequestParser.plain(text, true));
     }
 
     /** The calls on one connection to an agent. */
@@ -199,7 +202,7 @@
         private double toldMs;
         private boolean tooLong; // what it was told is more than memory holds
         private boolean prompt; // the next call is to be answered at once
-        private HostListReader list; // that is being told, or null
+        private EndpointListReader list; // that is being told, or null
         private byte[] slice;
         private boolean keepAlive;
 
@@ -289,16 +292,16 @@
                 throw new IOException("discovery answered " + response.status());
             }
             keepAlive = HttpUtil.isKeepAlive(response);
-            list = new HostListReader(HostListReader.limitBytes());
+            list = new EndpointListReader(EndpointListReader.limitBytes());
             try {
                 list.announce(HttpUtil.getContentLength(response, 0L));
-            } catch (HostList.TooLong e) {
+            } catch (EndpointList.TooLong e) {
                 throw refused(e);
             }
         }
 
         /** It will hardly be shorter the next moment; the list that is held serves on. */
-        private HostList.TooLong refused(HostList.TooLong list) {
+        private EndpointList.TooLong refused(EndpointList.TooLong list) {
             tooLong = true;
             return list;
         }
@@ -313,7 +316,7 @@
                     text.readBytes(slice, 0, length);
                     list.feed(slice, 0, length);
                 }
-            } catch (HostList.TooLong e) {
+            } catch (EndpointList.TooLong e) {
                 throw refused(e);
             } catch (IOException e) {
                 version = NONE; // what it told is lost, and the whole list holds it too
@@ -322,7 +325,7 @@
         }
 
         private void told(ChannelHandlerContext ctx) throws IOException {
-            HostList told;
+            EndpointList told;
             try {
                 told = list.finish();
             } catch (IOException e) {
@@ -362,9 +365,9 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            Fatal.check(cause);
+            FatalErrorHandler.check(cause);
             if (failures == 0 && isHeard()) { // one line for a spell of failures, however often it is asked
-                Node.log("discovery: "
+                GatewayServer.log("discovery: "
                         + String.valueOf(cause.getMessage()).lines().findFirst().orElse(""));
             }
             dropList();
--- a/src/main/java/caperrudder/net/DiscoveryTimes.java
+++ b/src/main/java/caperrudder/server/discovery/DiscoveryTimings.java
@@ -1,13 +1,13 @@
-package caperrudder.net;
+package caperrudder.server.discovery;
 
 import java.util.Random;
 
 /**
  * How long calls to discovery wait and rest, in ms. What it has to tell counts as told 6 s after it had that and could
- * be reached, and 4 s after a move to another address: the longest ways through {@link Discovery} end within these,
+ * be reached, and 4 s after a move to another address: the longest ways through {@link DiscoveryClient} end within these,
  * as docs/incidents/discovery-longest-path.md adds up. What is drawn by lot keeps a fleet from calling in step.
  */
-final class DiscoveryTimes {
+final class DiscoveryTimings {
     static final int CONNECT_MS = 1000;
     private static final double HOLD_MS = 3000; // the longest that a watch asks discovery to wait
     private static final double HOLD_SPREAD = 0.1; // watches that were answered together end their wait one by one
@@ -29,7 +29,7 @@
     private final Random random;
 
     /** {@code graceMs}: in which a drain that was told has to be heeded. */
-    DiscoveryTimes(boolean pushed, double graceMs, long seed) {
+    DiscoveryTimings(boolean pushed, double graceMs, long seed) {
         this.pushed = pushed;
         this.graceMs = graceMs;
         this.random = new Random(seed);
--- a/src/main/java/caperrudder/net/HostList.java
+++ b/src/main/java/caperrudder/server/discovery/EndpointList.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.discovery;
 
 import caperrudder.api.Host;
 import java.net.InetSocketAddress;
@@ -10,7 +10,7 @@
  * @param version the list's number; -1 where none was told
  * @param full whether it names every host, rather than what has changed since another version
  */
-public record HostList(long version, boolean full, List<Entry> entries) {
+public record EndpointList(long version, boolean full, List<Entry> entries) {
     /** A host with the address at which this api gateway reaches it; null where it is gone or was not told. */
     public record Entry(Host host, InetSocketAddress address) {}
 
--- a/src/main/java/caperrudder/net/HostListBuilder.java
+++ b/src/main/java/caperrudder/server/discovery/EndpointListParser.java
@@ -1,7 +1,10 @@
-package caperrudder.net;
+package caperrudder.server.discovery;
 
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.config.JsonTreeReader;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -17,7 +20,7 @@
  * Puts a list of hosts together from a parser's tokens as they come. It keeps the entries alone, in which texts that
  * hosts share are shared, and refuses what takes more than its limit of memory.
  */
-final class HostListBuilder {
+public final class EndpointListParser {
     static final String LIST = "servers";
     /**
      * What a host takes of the heap, beside the letters of its names, while a whole list takes the place of another
@@ -44,7 +47,7 @@
 
     private final long limitBytes;
     private final Map<String, String> shared = new HashMap<>();
-    private List<HostList.Entry> entries; // null where no array of them was told
+    private List<EndpointList.Entry> entries; // null where no array of them was told
     private JsonNode version = MissingNode.getInstance();
     private boolean full;
     private Place place = Place.BEFORE;
@@ -63,7 +66,7 @@
     private JsonNode startedMs;
 
     /** {@code limitBytes}: of the heap, that may be taken. */
-    HostListBuilder(long limitBytes) {
+    EndpointListParser(long limitBytes) {
         this.limitBytes = limitBytes;
         clearEntry();
     }
@@ -74,8 +77,8 @@
     }
 
     /** Reads the value at which the parser stands, to its end; null where it holds no array of hosts. */
-    static HostList read(JsonParser at, long limitBytes) throws IOException {
-        HostListBuilder builder = new HostListBuilder(limitBytes);
+    public static EndpointList read(JsonParser at, long limitBytes) throws IOException {
+        EndpointListParser builder = new EndpointListParser(limitBytes);
         JsonToken token = at.hasCurrentToken() ? at.currentToken() : at.nextToken();
         for (; token != null; token = at.nextToken()) {
             builder.take(at, token);
@@ -100,11 +103,13 @@
     }
 
     /** Null where no array of hosts was told. */
-    HostList build() {
+    EndpointList build() {
         if (noted > NOTED_MAX) {
-            Node.log("discovery: " + (noted - NOTED_MAX) + " more entries that can't be read");
+            GatewayServer.log("discovery: " + (noted - NOTED_MAX) + " more entries that can't be read");
         }
-        return entries == null ? null : new HostList(Math.max(NO_VERSION, version.asLong(NO_VERSION)), full, entries);
+        return entries == null
+                ? null
+                : new EndpointList(Math.max(NO_VERSION, version.asLong(NO_VERSION)), full, entries);
     }
 
     void take(JsonParser parser, JsonToken token) throws IOException {
@@ -196,7 +201,7 @@
             skipped = 1;
             return MissingNode.getInstance();
         }
-        return JsonTree.scalar(parser, token);
+        return JsonTreeReader.scalar(parser, token);
     }
 
     private void clearEntry() {
@@ -214,7 +219,7 @@
      * One that can't be read must not keep the others from being heard, nor may its host get more work on the strength
      * of what was told before: where it has a name, it drains.
      */
-    private void add() throws HostList.TooLong {
+    private void add() throws EndpointList.TooLong {
         String name = id.asText();
         HostState heard = HostState.DRAINING;
         InetSocketAddress reached = null;
@@ -223,7 +228,7 @@
                 throw new IllegalArgumentException("no id");
             }
             HostState told = stateOf(state);
-            reached = told == HostState.GONE ? null : NodeConfig.address(address.asText());
+            reached = told == HostState.GONE ? null : GatewayConfig.address(address.asText());
             heard = told;
         } catch (IllegalArgumentException bad) {
             note(name, bad.getMessage());
@@ -235,10 +240,10 @@
         Host host =
                 new Host(name, share(zone), share(kind), cell.asInt(), heard, weight.asDouble(1), startedMs.asDouble());
         if (bytes > limitBytes) {
-            throw new HostList.TooLong("its first " + entries.size() + " hosts fill the " + limitBytes
+            throw new EndpointList.TooLong("its first " + entries.size() + " hosts fill the " + limitBytes
                     + " bytes that memory allows for it");
         }
-        entries.add(new HostList.Entry(host, reached));
+        entries.add(new EndpointList.Entry(host, reached));
     }
 
     private static HostState stateOf(JsonNode told) {
@@ -261,7 +266,7 @@
 
     private void note(String name, String fault) {
         if (noted++ < NOTED_MAX) {
-            Node.log("discovery: entry '" + name + "': " + fault);
+            GatewayServer.log("discovery: entry '" + name + "': " + fault);
         }
     }
 }
--- a/src/main/java/caperrudder/net/HostListReader.java
+++ b/src/main/java/caperrudder/server/discovery/EndpointListReader.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonFactoryBuilder;
@@ -14,7 +14,7 @@
  * held, but for its entries. Whoever feeds it decides how long one piece is and so how long one feeding takes. Not for
  * several threads.
  */
-public final class HostListReader implements Closeable {
+public final class EndpointListReader implements Closeable {
     private static final int TEXT_MAX = 1 << 20; // letters of one string, of whatever field
     // Names are not kept beyond a list: of a list that names its hosts in fields there would be no end of them.
     private static final JsonFactory FACTORY = new JsonFactoryBuilder()
@@ -23,7 +23,7 @@
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
             .build();
 
-    private final HostListBuilder builder;
+    private final EndpointListParser builder;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private final long limitBytes;
@@ -35,9 +35,9 @@
      *
      * @param limitBytes what the list may take of the heap, and also how long its text may be
      */
-    public HostListReader(long limitBytes) {
+    public EndpointListReader(long limitBytes) {
         this.limitBytes = limitBytes;
-        this.builder = new HostListBuilder(limitBytes);
+        this.builder = new EndpointListParser(limitBytes);
         try {
             this.parser = FACTORY.createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -48,7 +48,7 @@
 
     /** What a list may take of the heap of this process. */
     public static long limitBytes() {
-        return HostListBuilder.limitBytes(Runtime.getRuntime().maxMemory());
+        return EndpointListParser.limitBytes(Runtime.getRuntime().maxMemory());
     }
 
     /**
@@ -56,22 +56,22 @@
      *
      * @throws HostList.TooLong where that is more than the limit
      */
-    public void announce(long bytes) throws HostList.TooLong {
+    public void announce(long bytes) throws EndpointList.TooLong {
         announced = bytes;
         if (bytes > limitBytes) {
             throw tooLong();
         }
     }
 
-    private HostList.TooLong tooLong() {
+    private EndpointList.TooLong tooLong() {
         return refused("its text alone is longer than the " + limitBytes + " bytes that memory allows for it");
     }
 
-    private HostList.TooLong refused(String why) {
+    private EndpointList.TooLong refused(String why) {
         String size = announced > 0
                 ? "a list of " + announced + " bytes is refused: "
                 : "a list is refused, of which " + came + " bytes came: ";
-        return new HostList.TooLong(size + why);
+        return new EndpointList.TooLong(size + why);
     }
 
     /**
@@ -88,7 +88,7 @@
         feeder.feedInput(text, from, from + length);
         try {
             drain();
-        } catch (HostList.TooLong e) {
+        } catch (EndpointList.TooLong e) {
             throw refused(e.getMessage());
         }
         if (came > limitBytes) {
@@ -109,12 +109,12 @@
      *
      * @throws IOException where the text ends inside the list, or has no version or no hosts in it
      */
-    public HostList finish() throws IOException {
+    public EndpointList finish() throws IOException {
         if (!builder.isWhole()) {
             feeder.endOfInput();
             drain();
         }
-        HostList list = builder.isWhole() ? builder.build() : null;
+        EndpointList list = builder.isWhole() ? builder.build() : null;
         if (list == null || !builder.isVersioned()) {
             throw new IOException(
                     builder.isWhole() || came == 0
--- a/src/main/java/caperrudder/net/ClientServer.java
+++ b/src/main/java/caperrudder/server/downstream/DownstreamServer.java
@@ -1,6 +1,13 @@
-package caperrudder.net;
+package caperrudder.server.downstream;
 
 import caperrudder.api.Request;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.OpenRequest;
+import caperrudder.server.admin.RequestCounters;
+import caperrudder.server.http.RequestBody;
+import caperrudder.server.runtime.FatalErrorHandler;
+import caperrudder.server.runtime.Transport;
+import caperrudder.server.upstream.UpstreamAttempt;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -31,8 +38,8 @@
 import java.util.concurrent.TimeUnit;
 
 /** Accepts clients and writes the one answer to each request; decides which connections stay open. */
-final class ClientServer {
-    static final int MAX_BODY = 40 << 20; // of a request or an answer; those that occur reach 32 MB
+public final class DownstreamServer {
+    public static final int MAX_BODY = 40 << 20; // of a request or an answer; those that occur reach 32 MB
     private static final int PIPELINED = 16; // requests read ahead on one connection; then reading stops
     private static final double PRESSED_SHARE = 0.5; // of the connections that fit: then idle ones give way early
     private static final long SWEEP_MS = 100;
@@ -48,8 +55,8 @@
     private static final double MS_PER_SECOND = 1000;
     private static final String READY = "/healthz";
 
-    private final Node node;
-    private final RequestTerms terms;
+    private final GatewayServer node;
+    private final RequestParser terms;
     private final LinkedHashSet<Connection> connections = new LinkedHashSet<>();
     private final LinkedHashSet<Connection> unused = new LinkedHashSet<>(); // no whole request came yet
     private final LinkedHashSet<Connection> casual = new LinkedHashSet<>(); // idle, asked once or for health alone
@@ -60,13 +67,13 @@
 
     private Channel listener;
 
-    ClientServer(Node node) {
+    public DownstreamServer(GatewayServer node) {
         this.node = node;
-        this.terms = new RequestTerms(node.config.settings());
+        this.terms = new RequestParser(node.config.settings());
     }
 
     /** Clients are served once this is done. */
-    ChannelFuture start() {
+    public ChannelFuture start() {
         ChannelFuture bound = node.transport
                 .server(node.group)
                 .childHandler(new ChannelInitializer<>() {
@@ -83,16 +90,16 @@
         return bound;
     }
 
-    boolean started() {
+    public boolean started() {
         return listener != null;
     }
 
-    ChannelFuture stopAccepting() {
+    public ChannelFuture stopAccepting() {
         return Transport.stopAccepting(listener);
     }
 
     /** Ends every connection on which nothing is asked, once it has taken its last answer. */
-    void closeIdle() {
+    public void closeIdle() {
         for (LinkedHashSet<Connection> from : givingWay) {
             for (Connection c : List.copyOf(from)) {
                 if (!giveUp(c, from, false)) {
@@ -103,15 +110,15 @@
     }
 
     /** Ends every connection on which no whole request is open: what is unfinished will not be served any more. */
-    void closeUnfinished() {
+    public void closeUnfinished() {
         List.copyOf(connections).forEach(Connection::closeUnfinished);
     }
 
-    boolean idle() {
+    public boolean idle() {
         return connections.isEmpty();
     }
 
-    Channel listener() {
+    public Channel listener() {
         return listener;
     }
 
@@ -195,13 +202,13 @@
     }
 
     /** One client connection: one request at a time, in order; what is sent ahead waits its turn. */
-    final class Connection extends ChannelInboundHandlerAdapter {
+    public final class Connection extends ChannelInboundHandlerAdapter {
         private final Channel channel;
         private final RequestReader reader;
         private final ArrayDeque<Object> waiting = new ArrayDeque<>(); // requests, and at the end what is unreadable
         private OpenRequest current;
         private RequestBody upload; // of the last request, while there is more of it to come
-        private Attempt source; // of an answer on its way
+        private UpstreamAttempt source; // of an answer on its way
         private boolean chunks; // the client reads a body in chunks
         private boolean closes; // the answer on its way is the last
         private boolean unframed; // and only the connection's end tells that it is whole
@@ -496,13 +503,13 @@
             double now = node.clock.now();
             Request read = terms.read(request, body, now, now - node.lag.ms());
             if (read == null || node.knows(read.id())) {
-                boolean unknown = !request.headers().contains(RequestTerms.ID);
+                boolean unknown = !request.headers().contains(RequestParser.ID);
                 body.discard();
                 fault();
                 answer(unknown ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
             } else if (node.full()) {
                 body.discard();
-                node.tally().ended(read.requestClass(), Tally.End.DEFERRED);
+                node.tally().ended(read.requestClass(), RequestCounters.End.DEFERRED);
                 answer(
                         HttpResponseStatus.SERVICE_UNAVAILABLE,
                         node.config.settings().limits().maxRetryAfterMs());
@@ -529,17 +536,17 @@
         }
 
         /** Whether the client is there still: what stands in its socket is read before the loop comes to it. */
-        boolean stays() {
+        public boolean stays() {
             reader.valve().look();
             return channel.isOpen();
         }
 
-        void holds(OpenRequest r) {
+        public void holds(OpenRequest r) {
             current = r;
         }
 
         /** Passes a host's answer on as it came. */
-        void serve(FullHttpResponse from) {
+        public void serve(FullHttpResponse from) {
             FullHttpResponse to = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.content().retain());
             copyType(from, to);
@@ -548,13 +555,13 @@
 
         private void copyType(HttpResponse from, HttpResponse to) {
             String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
-            if (type != null && RequestTerms.isWithin(type, ' ', '~')) { // else not to be passed on
+            if (type != null && RequestParser.isWithin(type, ' ', '~')) { // else not to be passed on
                 to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
             }
         }
 
         /** Begins to pass an answer on as it comes, as fast as the client takes it. */
-        void begin(HttpResponse from, Attempt attempt) {
+        public void begin(HttpResponse from, UpstreamAttempt attempt) {
             HttpResponse to = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             copyType(from, to);
             long length = HttpUtil.getContentLength(from, -1L);
@@ -575,7 +582,7 @@
             channel.write(to, channel.voidPromise());
         }
 
-        private void stream(Attempt from) {
+        private void stream(UpstreamAttempt from) {
             if (source == null && from != null) {
                 node.budget.began();
             } else if (source != null && from == null) {
@@ -585,11 +592,11 @@
         }
 
         /** Whether the client takes what it is given as fast as that comes. */
-        boolean takes() {
+        public boolean takes() {
             return channel.isWritable();
         }
 
-        void part(ByteBuf part) {
+        public void part(ByteBuf part) {
             channel.writeAndFlush(new DefaultHttpContent(part), channel.voidPromise());
             if (source != null) { // else the write has ended the connection
                 source.reading(channel.isWritable());
@@ -597,7 +604,7 @@
         }
 
         /** The answer on its way is whole, or broke: then the client is to see that it is not whole. */
-        void end(boolean whole) {
+        public void end(boolean whole) {
             stream(null);
             if (whole) {
                 over(LastHttpContent.EMPTY_LAST_CONTENT, closes || isLast());
@@ -617,7 +624,7 @@
             channel.close();
         }
 
-        void answer(HttpResponseStatus status, double retryAfterMs) {
+        public void answer(HttpResponseStatus status, double retryAfterMs) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
             if (retryAfterMs > 0) {
@@ -667,7 +674,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            Fatal.check(cause);
+            FatalErrorHandler.check(cause);
             channel.close();
         }
     }
--- a/src/main/java/caperrudder/net/Valve.java
+++ b/src/main/java/caperrudder/server/downstream/InboundFlowControl.java
@@ -1,5 +1,7 @@
-package caperrudder.net;
+package caperrudder.server.downstream;
 
+import caperrudder.server.runtime.StreamBufferBudget;
+import caperrudder.server.runtime.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,7 +13,7 @@
  * has left, so some is still taken from it and kept until the valve opens: behind that its end is seen. What a client
  * has sent beyond is read away once its end has to be known: then the connection ends behind what was kept.
  */
-final class Valve extends ChannelInboundHandlerAdapter {
+final class InboundFlowControl extends ChannelInboundHandlerAdapter {
     /** Told to the handlers behind when all that was kept has gone on and what came after it was read away. */
     enum Told {
         CUT_OFF
@@ -23,7 +25,7 @@
     private static final long FLOOD_BYTES = 8 << 20; // read away, after which the client is no longer borne
 
     private final ArrayDeque<ByteBuf> kept = new ArrayDeque<>();
-    private final Budget budget;
+    private final StreamBufferBudget budget;
     private ChannelHandlerContext ctx;
     private int bytes;
     private int borrowed; // of the budget, beyond what each may keep
@@ -36,7 +38,7 @@
     private boolean goingOn; // what was kept is being passed on
     private boolean due; // what is kept goes on soon
 
-    Valve(Budget budget) {
+    InboundFlowControl(StreamBufferBudget budget) {
         this.budget = budget;
     }
 
--- a/src/main/java/caperrudder/net/RequestTerms.java
+++ b/src/main/java/caperrudder/server/downstream/RequestParser.java
@@ -1,10 +1,11 @@
-package caperrudder.net;
+package caperrudder.server.downstream;
 
 import caperrudder.api.Idempotency;
 import caperrudder.api.Plan;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
+import caperrudder.server.http.RequestBody;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -18,14 +19,14 @@
  * What a request says of itself, held against the settings. All of it comes from a stranger, and the module reckons
  * with it: units, sets and times that cannot be would spoil the books of a customer who never sent them.
  */
-final class RequestTerms {
-    static final AsciiString ID = AsciiString.cached("X-Trace-Id");
-    static final AsciiString PLAN = AsciiString.cached("X-Plan");
-    static final AsciiString CUSTOMER = AsciiString.cached("X-Customer");
-    static final AsciiString EXPIRES = AsciiString.cached("X-Expires-In-Ms");
-    static final AsciiString QUOTA = AsciiString.cached("X-Quota");
+public final class RequestParser {
+    public static final AsciiString ID = AsciiString.cached("X-Trace-Id");
+    public static final AsciiString PLAN = AsciiString.cached("X-Plan");
+    public static final AsciiString CUSTOMER = AsciiString.cached("X-Customer");
+    public static final AsciiString EXPIRES = AsciiString.cached("X-Expires-In-Ms");
+    public static final AsciiString QUOTA = AsciiString.cached("X-Quota");
     static final AsciiString RETRY = AsciiString.cached("X-Second-Try");
-    static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
+    public static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
     /** Of these a request says one thing or nothing. */
     static final List<AsciiString> SINGLE =
             List.of(HttpHeaderNames.HOST, ID, PLAN, CUSTOMER, EXPIRES, QUOTA, RETRY, KEY);
@@ -42,7 +43,7 @@
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
 
-    RequestTerms(Settings settings) {
+    RequestParser(Settings settings) {
         this.settings = settings;
         settings.classes().forEach(c -> classes.put(c.name(), c));
         settings.plans().forEach(p -> plans.put(p.name(), p));
@@ -114,7 +115,7 @@
     }
 
     /** Whether all characters lie in a range; a plain loop, since it runs several times for each request. */
-    static boolean isWithin(String text, char from, char to) {
+    public static boolean isWithin(String text, char from, char to) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < from || text.charAt(i) > to) {
                 return false;
@@ -157,7 +158,7 @@
     }
 
     /** Digits, and where allowed a point between them: no sign, exponent, blank, NaN or infinity. */
-    static double plain(String text, boolean fraction) {
+    public static double plain(String text, boolean fraction) {
         int point = -1;
         for (int i = 0; text != null && i < text.length(); i++) {
             char c = text.charAt(i);
--- a/src/main/java/caperrudder/net/RequestReader.java
+++ b/src/main/java/caperrudder/server/downstream/RequestReader.java
@@ -1,5 +1,9 @@
-package caperrudder.net;
+package caperrudder.server.downstream;
 
+import caperrudder.server.http.RequestBody;
+import caperrudder.server.http.StrictHeaders;
+import caperrudder.server.runtime.Clock;
+import caperrudder.server.runtime.StreamBufferBudget;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
@@ -27,8 +31,8 @@
  * Puts the requests of one connection together, or passes on that what comes can't be read: then nothing more is, as
  * where a further request would begin is not known. It answers nothing itself, since answers have their order.
  */
-final class RequestReader extends ChannelInboundHandlerAdapter {
-    private static final HttpHeadersFactory HEADERS = StrictHeaders.ofRequests(RequestTerms.SINGLE);
+public final class RequestReader extends ChannelInboundHandlerAdapter {
+    private static final HttpHeadersFactory HEADERS = StrictHeaders.ofRequests(RequestParser.SINGLE);
     private static final double NONE = -1;
     private static final double HEAD_MS = 2600; // for a head, from its first byte: true clients take up to 2 s
     private static final double BODY_GRACE_MS = 1500; // without a byte of a body, and ahead of its slowest pace
@@ -47,7 +51,7 @@
     }
 
     private final Clock clock;
-    private final Valve valve;
+    private final InboundFlowControl valve;
     private final Decoder decoder = new Decoder();
     private HttpRequest head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
@@ -59,14 +63,14 @@
     private long bodyBytes; // since then
     private long bodyTotal;
     private long reads;
-    private final Budget budget;
+    private final StreamBufferBudget budget;
     private final Runnable room;
 
     /** {@code room} is run when a body that was full can take more. */
-    RequestReader(Clock clock, Budget budget, Runnable room) {
+    RequestReader(Clock clock, StreamBufferBudget budget, Runnable room) {
         this.clock = clock;
         this.budget = budget;
-        this.valve = new Valve(budget);
+        this.valve = new InboundFlowControl(budget);
         this.room = room;
     }
 
@@ -97,7 +101,7 @@
         pipeline.addLast(valve, new HttpResponseEncoder(), decoder, this);
     }
 
-    Valve valve() {
+    InboundFlowControl valve() {
         return valve;
     }
 
@@ -167,7 +171,7 @@
                         && !HttpUtil.isTransferEncodingChunked(request);
         if (!known) {
             refuse(ctx, HttpResponseStatus.BAD_REQUEST);
-        } else if (HttpUtil.getContentLength(request, 0L) > ClientServer.MAX_BODY) {
+        } else if (HttpUtil.getContentLength(request, 0L) > DownstreamServer.MAX_BODY) {
             refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE); // before any of it is read
         } else if (HttpUtil.is100ContinueExpected(request)) {
             ctx.fireUserEventTriggered(Asks.TO_GO_ON);
@@ -210,7 +214,7 @@
 
     private void pass(ChannelHandlerContext ctx, HttpContent content) {
         bodyTotal += content.content().readableBytes();
-        if (bodyTotal > ClientServer.MAX_BODY) { // of a body that did not tell its length
+        if (bodyTotal > DownstreamServer.MAX_BODY) { // of a body that did not tell its length
             refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
@@ -244,7 +248,7 @@
     }
 
     /** Parts of a body one behind the other, without a copy; the first is taken over, the second retained. */
-    static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf body, ByteBuf part) {
+    public static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf body, ByteBuf part) {
         if (!part.isReadable()) {
             return body;
         }
@@ -261,7 +265,7 @@
     /** More was sent ahead than is kept: refused, as it may be asked again. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == Valve.Told.CUT_OFF && !over) {
+        if (event == InboundFlowControl.Told.CUT_OFF && !over) {
             refuse(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
         ctx.fireUserEventTriggered(event);
--- a/src/main/java/caperrudder/net/Succession.java
+++ b/src/main/java/caperrudder/server/handover/ProcessHandover.java
@@ -1,7 +1,9 @@
-package caperrudder.net;
+package caperrudder.server.handover;
 
 import caperrudder.api.Snapshot;
-import caperrudder.net.HandoverFiles.Claim;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.handover.HandoverFiles.Claim;
+import caperrudder.server.runtime.Clock;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.ExecutionException;
@@ -13,13 +15,13 @@
  * The turn from one process of a gateway to the next. Its own thread reads and writes the files that they share;
  * the event loop only makes and takes books.
  */
-final class Succession {
+public final class ProcessHandover {
     private static final long BEAT_MS = 250;
     private static final double FRESH_MS = 5000; // older books are of a process that was gone before this one came
     private static final long YES_MS = 5000; // from a successor's start to its word that it serves; 6000 are allowed
 
     /** What of a node takes part. */
-    interface Party {
+    public interface Party {
         Snapshot books() throws InterruptedException, ExecutionException;
 
         void inherit(Snapshot books);
@@ -42,14 +44,14 @@
     private boolean failing;
 
     /** {@code folder} may be null or empty: then no process ever finds another. */
-    Succession(Party party, String folder, Clock clock) {
+    public ProcessHandover(Party party, String folder, Clock clock) {
         this.party = party;
         this.files = folder == null || folder.isEmpty() ? null : new HandoverFiles(Path.of(folder));
         this.clock = clock;
     }
 
     /** Before anything that takes time: whoever serves now learns that it is to be followed. */
-    void begin() {
+    public void begin() {
         Claim last = files == null ? null : files.claim();
         predecessor = last != null && lives(last.process()) ? last.process() : 0;
         party.beside(predecessor != 0);
@@ -57,7 +59,7 @@
     }
 
     /** What is left of the longest warm-up: a successor has its time to say yes, from its process's start. */
-    long warmUpMs(long longest) {
+    public long warmUpMs(long longest) {
         if (predecessor == 0) {
             return longest;
         }
@@ -70,7 +72,7 @@
     }
 
     /** The books that were left; null where there are none of now. */
-    Snapshot left() {
+    public Snapshot left() {
         Snapshot b = files == null ? null : files.books();
         if (b == null || Math.abs(clock.now() - b.takenAtMs()) > FRESH_MS) {
             return null;
@@ -80,7 +82,7 @@
     }
 
     /** Clients are taken from now on. */
-    void serving() {
+    public void serving() {
         claim(true);
         if (files != null) {
             thread.scheduleWithFixedDelay(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
@@ -88,7 +90,7 @@
     }
 
     /** At the end: whether another process takes the clients; if so, it finds the books as they are now. */
-    boolean isSucceeded() {
+    public boolean isSucceeded() {
         Claim last = successor();
         if (last != null) {
             leave();
@@ -97,7 +99,7 @@
     }
 
     /** Nothing is read or written from now on. */
-    void end() throws InterruptedException {
+    public void end() throws InterruptedException {
         thread.shutdownNow();
         thread.awaitTermination(BEAT_MS, TimeUnit.MILLISECONDS);
     }
@@ -123,7 +125,7 @@
                 leave();
             }
         } catch (RuntimeException e) { // a beat that throws would be the last
-            Node.log("defect: succession: " + e);
+            GatewayServer.log("defect: succession: " + e);
         }
     }
 
@@ -150,7 +152,7 @@
 
     private void fault(String line) {
         if (!failing) {
-            Node.log("succession: " + line);
+            GatewayServer.log("succession: " + line);
         }
         failing = true;
     }
--- a/src/main/java/caperrudder/net/BooksFormat.java
+++ b/src/main/java/caperrudder/server/handover/SnapshotCodec.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.handover;
 
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.HealthSnapshot;
@@ -16,18 +16,18 @@
 import java.util.zip.CRC32;
 
 /** The bytes of a gateway's books: a version, the entries, a check sum. Translation only. */
-final class BooksFormat {
+public final class SnapshotCodec {
     static final int MAX_BYTES = 1 << 20;
     private static final int VERSION = 0xCA9E0001;
     private static final int SUM_BYTES = Long.BYTES;
 
-    private BooksFormat() {}
+    private SnapshotCodec() {}
 
     private interface Part<T> {
         T read(DataInputStream in) throws IOException;
     }
 
-    static byte[] write(Snapshot books) {
+    public static byte[] write(Snapshot books) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeInt(VERSION);
@@ -73,7 +73,7 @@
     }
 
     /** Null where the bytes are torn, damaged or of another version. */
-    static Snapshot read(byte[] bytes) {
+    public static Snapshot read(byte[] bytes) {
         int length = bytes.length - SUM_BYTES;
         if (length < 0) {
             return null;
@@ -87,9 +87,9 @@
             return new Snapshot(
                     at,
                     perHost,
-                    list(in, BooksFormat::customer),
-                    list(in, BooksFormat::health),
-                    list(in, BooksFormat::requestClass));
+                    list(in, SnapshotCodec::customer),
+                    list(in, SnapshotCodec::health),
+                    list(in, SnapshotCodec::requestClass));
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/caperrudder/net/RequestBody.java
+++ b/src/main/java/caperrudder/server/http/RequestBody.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.http;
 
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayDeque;
@@ -7,9 +7,9 @@
  * A request's body: held whole, so that each attempt can send it, or on its way, when what a host has taken is gone.
  * Of the latter it holds no more than a window: who fills it asks whether it is {@code full}. On the event loop only.
  */
-final class RequestBody {
+public final class RequestBody {
     /** Who sends the body on; told when there is more of it, or its end. */
-    interface Sink {
+    public interface Sink {
         void more();
     }
 
@@ -30,33 +30,33 @@
         this.room = room;
     }
 
-    static RequestBody held(ByteBuf body) {
+    public static RequestBody held(ByteBuf body) {
         return new RequestBody(body, 0, () -> {});
     }
 
     /** {@code room} is run when a body that was full no longer is. */
-    static RequestBody arriving(int window, Runnable room) {
+    public static RequestBody arriving(int window, Runnable room) {
         return new RequestBody(null, window, room);
     }
 
-    boolean isHeld() {
+    public boolean isHeld() {
         return held != null;
     }
 
     /** Whether it is known that there is none. */
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return held != null && !held.isReadable();
     }
 
     /** For one attempt, of a body that is held. */
-    ByteBuf copy() {
+    public ByteBuf copy() {
         return held.retainedDuplicate();
     }
 
     // ---- a body on its way
 
     /** Takes the part over. */
-    void add(ByteBuf part) {
+    public void add(ByteBuf part) {
         if (discarded || !part.isReadable()) {
             part.release();
             return;
@@ -67,16 +67,16 @@
     }
 
     /** Its last part has come, and follows once it is known that the client has not left. */
-    void hasCome() {
+    public void hasCome() {
         come = true;
     }
 
     /** Whether nothing more has to come of it. */
-    boolean isComplete() {
+    public boolean isComplete() {
         return come || whole;
     }
 
-    void end() {
+    public void end() {
         whole = true;
         tell();
     }
@@ -88,22 +88,22 @@
     }
 
     /** All of it has come. */
-    boolean isWhole() {
+    public boolean isWhole() {
         return whole;
     }
 
-    boolean isFull() {
+    public boolean isFull() {
         return bytes >= window && !discarded && held == null;
     }
 
     /** From now on this one sends it; nobody where null. */
-    void to(Sink next) {
+    public void to(Sink next) {
         sink = next;
         tell();
     }
 
     /** The next part, which the caller owns, or null where none has come. */
-    ByteBuf next() {
+    public ByteBuf next() {
         ByteBuf part = parts.pollFirst();
         if (part != null) {
             boolean wasFull = isFull();
@@ -116,12 +116,12 @@
     }
 
     /** Whether all has come and been taken. */
-    boolean isDrained() {
+    public boolean isDrained() {
         return whole && parts.isEmpty();
     }
 
     /** Nobody wants it any more: what still comes is read away. */
-    void discard() {
+    public void discard() {
         if (discarded) {
             return;
         }
--- a/src/main/java/caperrudder/net/StrictHeaders.java
+++ b/src/main/java/caperrudder/server/http/StrictHeaders.java
@@ -1,5 +1,6 @@
-package caperrudder.net;
+package caperrudder.server.http;
 
+import caperrudder.server.downstream.RequestParser;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -14,7 +15,7 @@
  * holds, makes the message unreadable: the decoder would otherwise choose one and drop the other, and a receiver that
  * chooses differently finds a second message inside the first.
  */
-final class StrictHeaders extends DefaultHttpHeaders {
+public final class StrictHeaders extends DefaultHttpHeaders {
     private static final int LENGTH_DIGITS = 10; // of a length; far more than any message here may have
 
     private final List<AsciiString> single;
@@ -25,12 +26,12 @@
     }
 
     /** Of requests: each of these headers may stand once, and what no header may hold is not let in. */
-    static HttpHeadersFactory ofRequests(List<AsciiString> single) {
+    public static HttpHeadersFactory ofRequests(List<AsciiString> single) {
         return factory(DefaultHttpHeadersFactory.headersFactory().withValidation(true), single);
     }
 
     /** Of answers: a line that serves only its reader, such as a load report, may hold what it likes. */
-    static HttpHeadersFactory ofAnswers() {
+    public static HttpHeadersFactory ofAnswers() {
         return factory(DefaultHttpHeadersFactory.headersFactory().withValidation(false), List.of());
     }
 
@@ -76,7 +77,7 @@
     private static boolean isLength(String text) {
         return !text.isEmpty()
                 && text.length() <= LENGTH_DIGITS
-                && RequestTerms.isWithin(text, '0', '9')
+                && RequestParser.isWithin(text, '0', '9')
                 && (text.length() == 1 || text.charAt(0) != '0');
     }
 }
--- a/src/main/java/caperrudder/net/DrainableListener.java
+++ b/src/main/java/caperrudder/server/runtime/DrainableListener.java
@@ -1,5 +1,6 @@
-package caperrudder.net;
+package caperrudder.server.runtime;
 
+import caperrudder.server.GatewayServer;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -30,7 +31,7 @@
                 pipeline().fireChannelRead(new NioSocketChannel(this, s));
             }
         } catch (IOException e) {
-            Node.log("who waited was not taken: " + e.getMessage());
+            GatewayServer.log("who waited was not taken: " + e.getMessage());
         }
         close();
     }
--- a/src/main/java/caperrudder/net/Fatal.java
+++ b/src/main/java/caperrudder/server/runtime/FatalErrorHandler.java
@@ -1,19 +1,21 @@
-package caperrudder.net;
+package caperrudder.server.runtime;
+
+import caperrudder.server.GatewayServer;
 
 /**
  * Ends a process that can't go on: at once, with one plain line. The event loop's library takes an error for a fault of
  * one connection or one task, and a main thread that ends leaves the loops running: the process would neither serve
  * nor end. What runs out of heap where nobody here hears of it is ended by the virtual machine, see {@code run}.
  */
-final class Fatal {
+public final class FatalErrorHandler {
     private static final int EXIT = 1;
     private static final String DIRECT = "direct";
     private static volatile boolean armed; // before, the process is somebody else's
 
-    private Fatal() {}
+    private FatalErrorHandler() {}
 
     /** To be called by the main thread of a process that is nothing but a gateway. */
-    static void arm() {
+    public static void arm() {
         Thread main = Thread.currentThread();
         armed = true;
         Thread.setDefaultUncaughtExceptionHandler((thread, thrown) -> {
@@ -21,12 +23,12 @@
             if (thread == main) {
                 end(thrown);
             }
-            Node.log("defect: " + thread.getName() + " ended: " + thrown);
+            GatewayServer.log("defect: " + thread.getName() + " ended: " + thrown);
         });
     }
 
     /** Ends the process where {@code thrown}, which may be null, or what it came of is an error. */
-    static void check(Throwable thrown) {
+    public static void check(Throwable thrown) {
         for (Throwable t = thrown; armed && t != null; t = t.getCause()) {
             if (t instanceof Error && !isOfBuffers(t)) {
                 end(t);
@@ -43,7 +45,7 @@
 
     private static void end(Throwable thrown) {
         try {
-            Node.log("caperrudder: can't go on: " + thrown);
+            GatewayServer.log("caperrudder: can't go on: " + thrown);
         } finally { // also where there is no memory for the line
             Runtime.getRuntime().halt(EXIT);
         }
--- a/src/main/java/caperrudder/net/Budget.java
+++ b/src/main/java/caperrudder/server/runtime/StreamBufferBudget.java
@@ -1,10 +1,10 @@
-package caperrudder.net;
+package caperrudder.server.runtime;
 
 /**
  * The memory for what passes through: one sum, from the limit that the gateway was told, shared evenly by all that
  * stream at a time. Whatever streams asks for its window when it begins.
  */
-final class Budget {
+public final class StreamBufferBudget {
     private static final int HELD_MAX = 64 * 1024; // a longer message is passed on as it comes
     private static final int WINDOW_MAX = 64 * 1024;
     private static final int WINDOW_MIN = 4 * 1024;
@@ -15,7 +15,7 @@
     private int streams;
     private long keptBytes; // of what clients send ahead, beyond what each of them may
 
-    Budget(int memoryMb) {
+    public StreamBufferBudget(int memoryMb) {
         this.bytes = (long) memoryMb * 1024 * 1024 / SHARE;
     }
 
@@ -28,29 +28,29 @@
      * How much of a message must have come before it is passed on. Of one that announces to be long a little does:
      * enough to tell it from one whose length is a lie, which is better tried elsewhere.
      */
-    int passedFrom(long announced) {
+    public int passedFrom(long announced) {
         return announced > held() ? Math.min(WINDOW_MIN, held()) : held();
     }
 
-    int window() {
+    public int window() {
         return (int) Math.max(WINDOW_MIN, Math.min(WINDOW_MAX, bytes / Math.max(1, streams + 1)));
     }
 
     /** Whether more may be kept of what clients send ahead while their requests wait. */
-    boolean keepsMore() {
+    public boolean keepsMore() {
         return keptBytes < bytes / KEPT_SHARE;
     }
 
     /** So many bytes more are kept of that, or fewer where negative. */
-    void keep(int moreBytes) {
+    public void keep(int moreBytes) {
         keptBytes += moreBytes;
     }
 
-    void began() {
+    public void began() {
         streams++;
     }
 
-    void ended() {
+    public void ended() {
         streams--;
     }
 }
--- a/src/main/java/caperrudder/net/Transport.java
+++ b/src/main/java/caperrudder/server/runtime/Transport.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.runtime;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -21,10 +21,10 @@
 import java.net.StandardSocketOptions;
 
 /** What carries a node's connections: TCP, or for its warm-up the process's own memory, which nobody else can reach. */
-enum Transport {
+public enum Transport {
     TCP {
         @Override
-        ServerBootstrap server(EventLoopGroup group) {
+        public ServerBootstrap server(EventLoopGroup group) {
             return new ServerBootstrap()
                     .group(group)
                     .channelFactory(DrainableListener::new)
@@ -37,7 +37,7 @@
         }
 
         @Override
-        Bootstrap client(EventLoop loop) {
+        public Bootstrap client(EventLoop loop) {
             return new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -46,24 +46,24 @@
         }
 
         @Override
-        SocketAddress at(InetSocketAddress address) {
+        public SocketAddress at(InetSocketAddress address) {
             return address;
         }
     },
 
     MEMORY {
         @Override
-        ServerBootstrap server(EventLoopGroup group) {
+        public ServerBootstrap server(EventLoopGroup group) {
             return new ServerBootstrap().group(group).channel(LocalServerChannel.class);
         }
 
         @Override
-        Bootstrap client(EventLoop loop) {
+        public Bootstrap client(EventLoop loop) {
             return new Bootstrap().group(loop).channel(LocalChannel.class);
         }
 
         @Override
-        SocketAddress at(InetSocketAddress address) {
+        public SocketAddress at(InetSocketAddress address) {
             return new LocalAddress(address.toString());
         }
     };
@@ -78,25 +78,25 @@
     }
 
     /** A few connections for each look at the sockets, after which those that were closed are really gone. */
-    static RecvByteBufAllocator accepting() {
-        return new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(Descriptors.ACCEPTED_AT_ONCE);
+    public static RecvByteBufAllocator accepting() {
+        return new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(DescriptorBudget.ACCEPTED_AT_ONCE);
     }
 
-    abstract ServerBootstrap server(EventLoopGroup group);
+    public abstract ServerBootstrap server(EventLoopGroup group);
 
-    abstract Bootstrap client(EventLoop loop);
+    public abstract Bootstrap client(EventLoop loop);
 
-    abstract SocketAddress at(InetSocketAddress address);
+    public abstract SocketAddress at(InetSocketAddress address);
 
     /** Closes a listener; over TCP only once all that wait in its queue are taken. */
-    static ChannelFuture stopAccepting(Channel listener) {
+    public static ChannelFuture stopAccepting(Channel listener) {
         return listener instanceof DrainableListener drainableListener
                 ? drainableListener.emptyAndClose()
                 : listener.close();
     }
 
     /** Reads what stands unread in a socket before the loop comes to it; in memory nothing stands unread. */
-    static void readNow(Channel channel) {
+    public static void readNow(Channel channel) {
         if (channel.unsafe() instanceof NioUnsafe) {
             ((NioUnsafe) channel.unsafe()).read();
         }
--- a/src/main/java/caperrudder/net/Attempt.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamAttempt.java
@@ -1,6 +1,8 @@
-package caperrudder.net;
+package caperrudder.server.upstream;
 
 import caperrudder.api.Outcome;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.OpenRequest;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
@@ -8,21 +10,21 @@
 import io.netty.util.concurrent.Future;
 
 /** One attempt of an open request at one host. */
-final class Attempt extends HostConnection.Exchange {
+public final class UpstreamAttempt extends UpstreamConnection.Exchange {
     private static final int LONG_BYTES = 64 * 1024; // the protocol's: up to here the last byte has to come in time
 
-    final OpenRequest owner;
-    final int number;
-    final String host;
+    public final OpenRequest owner;
+    public final int number;
+    public final String host;
     private double sentAt; // of a body on its way, the last byte
     private double firstAt; // of an answer that is passed on, the first bytes
     private HttpResponse passed;
     private long passedBytes;
-    private final Node node;
-    boolean ended;
+    private final GatewayServer node;
+    public boolean ended;
     private Future<?> timeout;
 
-    Attempt(Node node, OpenRequest owner, String host, double sentAt) {
+    public UpstreamAttempt(GatewayServer node, OpenRequest owner, String host, double sentAt) {
         this.node = node;
         this.owner = owner;
         this.number = owner.attempts.size();
@@ -31,11 +33,11 @@
     }
 
     /** Its end stops this timer, or there would be one for each attempt of the last minutes. */
-    void limit(Future<?> timer) {
+    public void limit(Future<?> timer) {
         timeout = timer;
     }
 
-    void stopTimer() {
+    public void stopTimer() {
         if (timeout != null) {
             timeout.cancel(false);
         }
@@ -73,17 +75,17 @@
     }
 
     /** From the request's last byte to the answer, or to the first bytes of one that is passed on. */
-    double took(double now) {
+    public double took(double now) {
         return (passed == null ? now : firstAt) - sentAt;
     }
 
     /** Whether what is passed on is an answer so long that the client's time is for its first bytes alone. */
-    boolean isLong() {
+    public boolean isLong() {
         return passedBytes > LONG_BYTES || passed != null && HttpUtil.getContentLength(passed, 0L) > LONG_BYTES;
     }
 
     /** The head of what the host answered; null where nothing came. */
-    HttpResponse told(HttpResponse response) {
+    public HttpResponse told(HttpResponse response) {
         return response == null ? passed : response;
     }
 
--- a/src/main/java/caperrudder/net/HostClient.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamClient.java
@@ -1,8 +1,12 @@
-package caperrudder.net;
+package caperrudder.server.upstream;
 
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
 import caperrudder.api.Outcome;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.discovery.EndpointList;
+import caperrudder.server.downstream.RequestParser;
+import caperrudder.server.http.RequestBody;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -35,7 +39,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The pools of connections to hosts, and what is sent on them. */
-final class HostClient {
+public final class UpstreamClient {
     private static final String HOST = "backend.local";
     private static final String REPORT = "Endpoint-Load-Metrics";
     private static final String QUOTA_USED = "X-Quota-Used";
@@ -44,12 +48,12 @@
     private static final long SWEEP_MS = 500;
     private static final double PROBE_TIMEOUT_MS = 250;
 
-    private final Node node;
+    private final GatewayServer node;
     private final Map<String, Pool> pools = new LinkedHashMap<>();
     private final Bootstrap bootstrap;
     private int connections;
 
-    HostClient(Node node) {
+    public UpstreamClient(GatewayServer node) {
         this.node = node;
         this.bootstrap = node.transport.client(node.loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
                 Math.max(1, node.config.connectTimeoutMs()));
@@ -57,11 +61,11 @@
     }
 
     /** The connections to one host at one address in one life of its process. */
-    private static final class Pool implements HostConnection.Home {
+    private static final class Pool implements UpstreamConnection.Home {
         final InetSocketAddress address;
         final double startedMs;
         /** The last used at the end; it begins small, since a gateway asks few of the hosts in a long list. */
-        final ArrayDeque<HostConnection> idle = new ArrayDeque<>(0);
+        final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(0);
 
         boolean closed;
         boolean draining;
@@ -77,10 +81,10 @@
         }
 
         /** The last used that has rested, taken out; null where there is none. */
-        HostConnection rested(double now) {
-            Iterator<HostConnection> latest = idle.descendingIterator();
+        UpstreamConnection rested(double now) {
+            Iterator<UpstreamConnection> latest = idle.descendingIterator();
             while (latest.hasNext()) {
-                HostConnection c = latest.next();
+                UpstreamConnection c = latest.next();
                 if (now - c.idleSince() >= REST_MS) {
                     latest.remove();
                     return c;
@@ -95,21 +99,21 @@
         }
 
         @Override
-        public void resting(HostConnection c) {
+        public void resting(UpstreamConnection c) {
             idle.addLast(c);
         }
 
         @Override
-        public void gone(HostConnection c) {
+        public void gone(UpstreamConnection c) {
             idle.remove(c);
         }
     }
 
     // ---- the list
 
-    void listed(HostListKind kind, List<HostList.Entry> entries) {
+    public void listed(HostListKind kind, List<EndpointList.Entry> entries) {
         Set<String> named = new HashSet<>();
-        for (HostList.Entry e : entries) {
+        for (EndpointList.Entry e : entries) {
             String id = e.host().id();
             named.add(id);
             Pool old = pools.get(id);
@@ -140,14 +144,14 @@
     }
 
     /** Whether the list names any host. */
-    boolean known() {
+    public boolean known() {
         return !pools.isEmpty();
     }
 
     private void close(Pool pool) {
         if (pool != null) {
             pool.closed = true;
-            List.copyOf(pool.idle).forEach(HostConnection::close);
+            List.copyOf(pool.idle).forEach(UpstreamConnection::close);
         }
     }
 
@@ -167,7 +171,7 @@
             return true;
         }
         for (Pool pool : pools.values()) {
-            HostConnection c = pool.idle.pollFirst();
+            UpstreamConnection c = pool.idle.pollFirst();
             if (c != null) {
                 c.close();
                 return true;
@@ -178,11 +182,11 @@
 
     // ---- asking
 
-    void send(Attempt a) {
+    public void send(UpstreamAttempt a) {
         start(a.host, a, c -> write(a, c));
     }
 
-    private void write(Attempt a, HostConnection c) {
+    private void write(UpstreamAttempt a, UpstreamConnection c) {
         HttpRequest from = a.owner.head;
         RequestBody body = a.owner.body;
         if (body.isHeld()) {
@@ -206,14 +210,14 @@
         c.write(a, to, body);
     }
 
-    private void setHeaders(Attempt a, HttpRequest from, HttpRequest to) {
+    private void setHeaders(UpstreamAttempt a, HttpRequest from, HttpRequest to) {
         HttpHeaders h = to.headers();
         h.set(HttpHeaderNames.HOST, HOST);
-        h.set(RequestTerms.ID, a.owner.request.id());
-        h.set(RequestTerms.EXPIRES, Long.toString((long) a.owner.leftMs(node.clock.now())));
-        String key = from.headers().get(RequestTerms.KEY);
+        h.set(RequestParser.ID, a.owner.request.id());
+        h.set(RequestParser.EXPIRES, Long.toString((long) a.owner.leftMs(node.clock.now())));
+        String key = from.headers().get(RequestParser.KEY);
         if (key != null) {
-            h.set(RequestTerms.KEY, key);
+            h.set(RequestParser.KEY, key);
         }
         String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
@@ -221,11 +225,11 @@
         }
     }
 
-    void probe(String host) {
+    public void probe(String host) {
         List<String> names = node.config.settings().loadReportFields();
         String path = names.isEmpty() ? "/healthz" : "/load";
         double sentAt = node.clock.now();
-        HostConnection.Exchange probe = new HostConnection.Exchange() {
+        UpstreamConnection.Exchange probe = new UpstreamConnection.Exchange() {
             private boolean over;
 
             @Override
@@ -259,13 +263,13 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void start(String host, HostConnection.Exchange x, Message message) {
+    private void start(String host, UpstreamConnection.Exchange x, Message message) {
         Pool pool = pools.get(host);
         if (pool == null) {
             x.ended(Outcome.CONNECT_FAILED, null); // its address was taken from the list
             return;
         }
-        for (HostConnection c = pool.rested(node.clock.now()); c != null; c = pool.rested(node.clock.now())) {
+        for (UpstreamConnection c = pool.rested(node.clock.now()); c != null; c = pool.rested(node.clock.now())) {
             if (c.ready()) {
                 message.writeTo(c);
                 return;
@@ -279,12 +283,12 @@
     }
 
     private interface Message {
-        void writeTo(HostConnection c);
+        void writeTo(UpstreamConnection c);
     }
 
-    private void connect(Pool pool, HostConnection.Exchange x, Message message) {
+    private void connect(Pool pool, UpstreamConnection.Exchange x, Message message) {
         connections++;
-        HostConnection c = new HostConnection(pool, node.clock, node.budget);
+        UpstreamConnection c = new UpstreamConnection(pool, node.clock, node.budget);
         c.await(x);
         ChannelFuture connecting = bootstrap
                 .clone()
@@ -321,12 +325,12 @@
     // ---- what answers tell beside their body
 
     /** The customer's metered use as the module is told it, 1 + percent; 0 where the answer tells none. */
-    static int used(HttpResponse response) {
-        double percent = RequestTerms.plain(response.headers().get(QUOTA_USED), false);
+    public static int used(HttpResponse response) {
+        double percent = RequestParser.plain(response.headers().get(QUOTA_USED), false);
         return percent < 0 ? 0 : 1 + (int) percent;
     }
 
-    double[] report(HttpResponse response) {
+    public double[] report(HttpResponse response) {
         String text = response.headers().get(REPORT);
         return text == null ? new double[0] : parse(text);
     }
--- a/src/main/java/caperrudder/net/HostConnection.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamConnection.java
@@ -1,6 +1,14 @@
-package caperrudder.net;
+package caperrudder.server.upstream;
 
 import caperrudder.api.Outcome;
+import caperrudder.server.downstream.DownstreamServer;
+import caperrudder.server.downstream.RequestReader;
+import caperrudder.server.http.RequestBody;
+import caperrudder.server.http.StrictHeaders;
+import caperrudder.server.runtime.Clock;
+import caperrudder.server.runtime.FatalErrorHandler;
+import caperrudder.server.runtime.StreamBufferBudget;
+import caperrudder.server.runtime.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -34,7 +42,7 @@
  * One connection to a host. It carries one exchange at a time, puts its answer together, and goes back to its pool
  * only when nothing stands on it beyond that answer: what a host sends unasked would be taken for the next answer.
  */
-final class HostConnection extends ChannelInboundHandlerAdapter {
+public final class UpstreamConnection extends ChannelInboundHandlerAdapter {
     private static final String NEVER_RAN = "X-Never-Ran";
     private static final long STALL_MS = 250; // without a byte, an answer that has begun is none
     private static final long PASSED_STALL_MS = 5000; // one that is passed on already has nothing to lose
@@ -45,14 +53,14 @@
     interface Home {
         boolean closed();
 
-        void resting(HostConnection c);
+        void resting(UpstreamConnection c);
 
-        void gone(HostConnection c);
+        void gone(UpstreamConnection c);
     }
 
     private final Home home;
     private final Clock clock;
-    private final Budget budget;
+    private final StreamBufferBudget budget;
     private final Decoder decoder = new Decoder();
     private Channel channel;
     private Exchange exchange;
@@ -73,15 +81,15 @@
     private Future<?> stall;
     private double idleSince;
 
-    HostConnection(Home home, Clock clock, Budget budget) {
+    UpstreamConnection(Home home, Clock clock, StreamBufferBudget budget) {
         this.home = home;
         this.clock = clock;
         this.budget = budget;
     }
 
     /** Something asked of a host that ends exactly once; its owner ignores what comes after. */
-    abstract static class Exchange {
-        private HostConnection connection;
+    public abstract static class Exchange {
+        private UpstreamConnection connection;
 
         /** Whether it is still to be sent, where its connection took time to come up. */
         boolean isWanted() {
@@ -105,7 +113,7 @@
         }
 
         /** Whether the answer is to be read on. */
-        final void reading(boolean on) {
+        public final void reading(boolean on) {
             if (connection != null) {
                 connection.reading(on);
             }
@@ -119,8 +127,8 @@
         }
 
         /** Stops waiting: its connection closes, so late bytes can never reach another request. */
-        final void abandon() {
-            HostConnection c = connection;
+        public final void abandon() {
+            UpstreamConnection c = connection;
             connection = null;
             if (c != null) {
                 c.exchange = null;
@@ -319,7 +327,7 @@
         head = response;
         boolean ahead = isInterim();
         long length = HttpUtil.getContentLength(response, -1L);
-        if (length > ClientServer.MAX_BODY
+        if (length > DownstreamServer.MAX_BODY
                 || ahead && ++interim > INTERIM_MAX
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
             spoilt();
@@ -378,7 +386,7 @@
         }
         if (passing) {
             passedBytes += content.content().readableBytes();
-            if (passedBytes > ClientServer.MAX_BODY) { // of an answer that did not tell its length
+            if (passedBytes > DownstreamServer.MAX_BODY) { // of an answer that did not tell its length
                 spoilt();
                 return;
             }
@@ -492,7 +500,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Fatal.check(cause);
+        FatalErrorHandler.check(cause);
         lost();
         close();
     }
--- a/src/test/java/caperrudder/scale/CostsTest.java
+++ b/src/test/java/caperrudder/scale/CostsTest.java
@@ -166,7 +166,7 @@
                         told.get("process.requests.unserved")),
                 told::toString);
         String loaded = read("classes");
-        assertTrue(loaded.contains("caperrudder.net.HostConnection"), "the process served nothing");
+        assertTrue(loaded.contains("caperrudder.server.upstream.UpstreamConnection"), "the process served nothing");
         for (String stranger : List.of("caperrudder.scale", "picocli", "HdrHistogram")) {
             assertTrue(!loaded.contains(stranger + "."), stranger);
         }
--- a/src/test/java/caperrudder/scale/StandInTest.java
+++ b/src/test/java/caperrudder/scale/StandInTest.java
@@ -7,9 +7,9 @@
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
 import caperrudder.api.Settings;
-import caperrudder.net.HostLists;
 import caperrudder.scale.DiscoveryStandIn.Entry;
 import caperrudder.scale.DiscoveryStandIn.State;
+import caperrudder.server.discovery.EndpointLists;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.util.HashSet;
@@ -21,14 +21,14 @@
 
 /** What stands in for discovery, tenants and the meter does as the protocol's page says. */
 class StandInTest {
-    private static HostLists read(byte[] text) throws IOException {
-        return HostLists.read(new ByteArrayInputStream(text));
+    private static EndpointLists read(byte[] text) throws IOException {
+        return EndpointLists.read(new ByteArrayInputStream(text));
     }
 
     @Test
     void theRealReadingUnderstandsDiscoverysTexts() throws IOException {
         DiscoveryStandIn discovery = new DiscoveryStandIn(20, 3, n -> "127.0.0.1:" + (1 + n));
-        HostLists whole = read(discovery.whole());
+        EndpointLists whole = read(discovery.whole());
         assertTrue(whole.full());
         assertEquals(1, whole.version());
         assertEquals(20, whole.hosts().stream().map(Host::id).distinct().count());
@@ -36,7 +36,7 @@
         discovery.change(e, State.GONE, 0);
         assertEquals(19, read(discovery.whole()).hosts().size());
         discovery.change(e, State.DRAINING, 1234);
-        HostLists change = read(discovery.changes(List.of(e)));
+        EndpointLists change = read(discovery.changes(List.of(e)));
         assertFalse(change.full());
         assertEquals(3, change.version());
         Host told = change.hosts().get(0);
--- a/src/test/java/caperrudder/net/ClientReadingTest.java
+++ b/src/test/java/caperrudder/server/ClientReadingTest.java
@@ -1,20 +1,21 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.entry;
-import static caperrudder.net.Sockets.headers;
-import static caperrudder.net.Sockets.list;
-import static caperrudder.net.Sockets.order;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.entry;
+import static caperrudder.server.Sockets.headers;
+import static caperrudder.server.Sockets.list;
+import static caperrudder.server.Sockets.order;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Registry;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Registry;
+import caperrudder.server.Sockets.Server;
+import caperrudder.server.downstream.DownstreamServer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -139,7 +140,7 @@
             told.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client first = client(node).send(view("same", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
         assertEquals(
@@ -177,7 +178,7 @@
         Server host = host((m, s) -> s.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
         Client c = client(nodeBefore(host)).send(ORDER + "Transfer-Encoding: chunked\r\n\r\n");
         String chunk = "40000\r\n" + "x".repeat(0x40000) + "\r\n";
-        for (int sent = 0; sent <= ClientServer.MAX_BODY; sent += 0x40000) {
+        for (int sent = 0; sent <= DownstreamServer.MAX_BODY; sent += 0x40000) {
             c.send(chunk);
         }
         assertEquals(413, c.receive().status());
@@ -202,7 +203,7 @@
                 "POST /order/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
     void anUnfinishedRequestIsGivenUp(String half) throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client c = client(node).send(half);
         Client used = client(node).send(view("v", Sockets.PATIENCE_MS));
         assertEquals(200, used.receive().status());
@@ -226,7 +227,7 @@
     void aSilentCrowdTakesNoUsedConnection() throws Exception {
         Server host = host(SocketTest::echo);
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 60"));
         ends.push(node::stop);
         List<Client> regulars = new ArrayList<>();
@@ -261,7 +262,7 @@
     void aHeadThatComesSlowlyStaysInACrowdThatStopped() throws Exception {
         Server host = host(SocketTest::echo);
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 60"));
         ends.push(node::stop);
         Client regular = client(node);
@@ -293,7 +294,7 @@
     void aCrowdThatAsksOnceTakesNoRegularsPlace() throws Exception {
         Server host = host(SocketTest::echo);
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 60"));
         ends.push(node::stop);
         Client regular = client(node);
--- a/src/test/java/caperrudder/net/ClosingTest.java
+++ b/src/test/java/caperrudder/server/ClosingTest.java
@@ -1,15 +1,15 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.bytes;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.bytes;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Server;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -23,7 +23,7 @@
     private static final String BODY = "x".repeat(40_000);
 
     /** A client that has taken little of its answer when the gateway ends the connection. */
-    private Socket slow(Node node) throws Exception {
+    private Socket slow(GatewayServer node) throws Exception {
         Socket s = kept(new Socket());
         s.setReceiveBufferSize(2048);
         s.setSoTimeout(TIME);
@@ -31,7 +31,7 @@
         return s;
     }
 
-    private static void awaitAnswered(Node node, long count) throws Exception {
+    private static void awaitAnswered(GatewayServer node, long count) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIME);
         while (node.figures().classes().get(0).answered() < count) {
             assertTrue(System.nanoTime() < end, "not answered");
@@ -54,7 +54,7 @@
             sent.await(TIME, TimeUnit.MILLISECONDS);
             to.getOutputStream().write(Sockets.ok(BODY));
         });
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Socket s = slow(node);
         s.getOutputStream().write(bytes(view("v", TIME).replace("Host: h", "Host: h\r\nConnection: close")));
         assertNotNull(host.next());
@@ -68,7 +68,7 @@
     /** The close of a connection that rested crossed a request, and the answer before was not taken yet. */
     @Test
     void anAnswerIsTakenWholeThoughARequestCrossesTheEnd() throws Exception {
-        Node node = nodeBefore(host((m, to) -> to.getOutputStream().write(Sockets.ok(BODY))));
+        GatewayServer node = nodeBefore(host((m, to) -> to.getOutputStream().write(Sockets.ok(BODY))));
         Socket s = slow(node);
         s.getOutputStream().write(bytes(view("v", TIME)));
         awaitAnswered(node, 1);
@@ -84,7 +84,7 @@
     @Test
     void aRequestThatCrossesTheEndReachesNoHost() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client c = client(node);
         assertEquals("for v ", c.send(view("v", TIME)).receive().text());
         Client half = client(node);
@@ -108,7 +108,7 @@
     /** A client that neither takes nor ends holds nothing up for long. */
     @Test
     void aClientThatNeverEndsItsSideIsClosedOnSoon() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client c = client(node);
         assertEquals(200, c.send(view("v", TIME)).receive().status());
         node.loop.submit(node::stopServing).sync();
@@ -119,7 +119,7 @@
     /** Nor does one that goes on sending without end: it is read away only for a while. */
     @Test
     void aFloodBehindTheLastAnswerIsCutOff() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client c = client(node);
         c.send(view("v", TIME).replace("Host: h", "Host: h\r\nConnection: close"));
         assertEquals("for v ", c.receive().text());
@@ -139,7 +139,7 @@
     @Test
     void connectionsThatHaveEndedGiveWayFirst() throws Exception {
         registry = kept(new Sockets.Registry(Sockets.list(1, true)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 60"));
         ends.push(node::stop);
         String health = "GET /healthz HTTP/1.1\r\nHost: h\r\n";
--- a/src/test/java/caperrudder/net/DrainTest.java
+++ b/src/test/java/caperrudder/server/DrainTest.java
@@ -1,15 +1,17 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.bytes;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.bytes;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Server;
+import caperrudder.server.admin.MetricsSnapshot;
+import caperrudder.server.config.GatewayConfig;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -20,7 +22,7 @@
 class DrainTest extends SocketTest {
 
     /** A client that takes nothing yet, so that answers wait here for it. */
-    private Socket slowClient(Node node) throws Exception {
+    private Socket slowClient(GatewayServer node) throws Exception {
         Socket s = kept(new Socket());
         s.setReceiveBufferSize(4096);
         s.setSoTimeout(Sockets.PATIENCE_MS);
@@ -29,12 +31,12 @@
     }
 
     /** Until no request goes out any more although many wait. */
-    private static void awaitStall(Node node) throws Exception {
+    private static void awaitStall(GatewayServer node) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        Figures last = node.figures();
+        MetricsSnapshot last = node.figures();
         for (int same = 0; same < 3; ) {
             assertTrue(System.nanoTime() < end, "it never stalled");
-            Figures now = node.figures();
+            MetricsSnapshot now = node.figures();
             if (now != last) {
                 same = now.current() == 0 && now.sends() > 0 && now.sends() == last.sends() ? same + 1 : 0;
                 last = now;
@@ -47,7 +49,7 @@
     @Test
     void answersThatWaitForTheirClientAreTakenBeforeTheConnectionEnds() throws Exception {
         String body = "x".repeat(60_000);
-        Node node = nodeBefore(host((m, s) -> s.getOutputStream().write(Sockets.ok(body))));
+        GatewayServer node = nodeBefore(host((m, s) -> s.getOutputStream().write(Sockets.ok(body))));
         int count = 400; // more than the buffers of both sides hold
         Socket slow = slowClient(node);
         StringBuilder all = new StringBuilder();
@@ -78,7 +80,7 @@
     /** Its end may come only after the process has gone; closing says that nothing was taken. */
     @Test
     void aHalfReadRequestIsClosedOnOnceNothingIsServedAnyMore() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client half = client(node);
         assertEquals(200, half.send(view("v", Sockets.PATIENCE_MS)).receive().status());
         half.send("GET /view/w HTTP/1.1\r\nX-Tr");
@@ -93,7 +95,7 @@
     /** The rest of a request that was half read when idle connections were closed is still taken. */
     @Test
     void aHalfReadRequestThatEndsInTimeIsServed() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client half = client(node);
         assertEquals(200, half.send(view("v", Sockets.PATIENCE_MS)).receive().status());
         String request = view("w", Sockets.PATIENCE_MS);
@@ -111,7 +113,7 @@
     @Test
     void aNodeThatIsToEndBeforeItListensNeverDoes() throws Exception {
         registry = kept(new Sockets.Registry(Sockets.list(1, true)));
-        Node node = new Node(NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
+        GatewayServer node = new GatewayServer(GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
                 .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
         ends.push(node::stop);
         node.loop.submit(() -> node.end(false)).sync();
@@ -123,7 +125,7 @@
     @Test
     void theFirstRequestOfANodeThatIsToEndIsAnswered() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
         node.loop.submit(() -> node.end(false)).sync();
--- a/src/test/java/caperrudder/net/NodeTest.java
+++ b/src/test/java/caperrudder/server/GatewayServerTest.java
@@ -1,12 +1,12 @@
-package caperrudder.net;
-
-import static caperrudder.net.Sockets.bytes;
-import static caperrudder.net.Sockets.entry;
-import static caperrudder.net.Sockets.headers;
-import static caperrudder.net.Sockets.list;
-import static caperrudder.net.Sockets.ok;
-import static caperrudder.net.Sockets.order;
-import static caperrudder.net.Sockets.view;
+package caperrudder.server;
+
+import static caperrudder.server.Sockets.bytes;
+import static caperrudder.server.Sockets.entry;
+import static caperrudder.server.Sockets.headers;
+import static caperrudder.server.Sockets.list;
+import static caperrudder.server.Sockets.ok;
+import static caperrudder.server.Sockets.order;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -29,10 +29,11 @@
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
 import caperrudder.api.Snapshot;
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Registry;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Registry;
+import caperrudder.server.Sockets.Server;
+import caperrudder.server.config.GatewayConfig;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -53,7 +54,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A node between real sockets: each test is a failure that must not cost a request or break a rule. */
-class NodeTest extends SocketTest {
+class GatewayServerTest extends SocketTest {
     private static final String DEAD = "127.0.0.1:1"; // below the ports that the system gives out
 
     @Test
@@ -82,8 +83,8 @@
 
     @Test
     void aHostThatRefusesConnectionsCostsNoRequest() throws Exception {
-        Server host = host(NodeTest::echo);
-        Node node = nodeWith(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
+        Server host = host(GatewayServerTest::echo);
+        GatewayServer node = nodeWith(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     "for o" + i + " b",
@@ -112,7 +113,7 @@
 
     @Test
     void excessIsRefusedAtOnceWithATimeToComeBack() throws Exception {
-        Server host = host(NodeTest::echo);
+        Server host = host(GatewayServerTest::echo);
         Client c = client(nodeBefore(host));
         String tiny = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
@@ -188,8 +189,8 @@
 
     @Test
     void badRequestsAreToldSoAndReachNoHost() throws Exception {
-        Server host = host(NodeTest::echo);
-        Node node = nodeBefore(host);
+        Server host = host(GatewayServerTest::echo);
+        GatewayServer node = nodeBefore(host);
         String good = view("v", 1000);
         for (String bad : List.of(
                 good.replace("X-Plan: free\r\n", ""),
@@ -228,7 +229,7 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-        Client c = client(nodeBefore(host(NodeTest::echo)));
+        Client c = client(nodeBefore(host(GatewayServerTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             all.append(view("p" + i, Sockets.PATIENCE_MS));
@@ -241,9 +242,9 @@
 
     @Test
     void aDrainingHostGetsNothingNewAndAMovedOneIsFollowed() throws Exception {
-        Server old = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
-        Node node = nodeBefore(old);
+        Server old = host(GatewayServerTest::echo);
+        Server fresh = host(GatewayServerTest::echo);
+        GatewayServer node = nodeBefore(old);
         Client c = client(node);
         assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
         awaitWatches(1);
@@ -260,9 +261,9 @@
 
     @Test
     void aFullListDropsTheHostsThatItDoesNotName() throws Exception {
-        Server old = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
-        Node node = nodeBefore(old);
+        Server old = host(GatewayServerTest::echo);
+        Server fresh = host(GatewayServerTest::echo);
+        GatewayServer node = nodeBefore(old);
         awaitWatches(1);
         registry.news.add(list(9, true, entry("h1", fresh.address(), "ready")));
         awaitWatches(2);
@@ -292,14 +293,14 @@
     /** A release that killed most of a fleet had all of them ask for whole lists, and seven of ten got none for 10 s. */
     @Test
     void aStartAsksOnlyForWhatChangedSinceTheListItKnows() throws Exception {
-        Server host = host(NodeTest::echo);
+        Server host = host(GatewayServerTest::echo);
         Server agent = kept(new Server((m, s) -> s.getOutputStream()
                 .write(ok(
                         m.start().contains("from=41&")
                                 ? list(43, false, entry("h2", host.address(), "ready"))
                                 : "[]"))));
         String known = list(41, true, entry("h1", "127.0.0.1:1", "draining"));
-        Node node = Sockets.node(Sockets.config(agent.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(agent.address(), "127.0.0.1:0")
                 .replace("{\"version\": 0, \"full\": true, \"servers\": []}", known));
         ends.push(node::stop);
         assertTrue(agent.next().start().contains("from=41&"));
@@ -361,9 +362,9 @@
     /** One entry that can't be read once threw the whole list away, and again each time it was asked for. */
     @Test
     void aMalformedEntryCostsOnlyItsOwnHost() throws Exception {
-        Server known = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
-        Node node = nodeBefore(known);
+        Server known = host(GatewayServerTest::echo);
+        Server fresh = host(GatewayServerTest::echo);
+        GatewayServer node = nodeBefore(known);
         awaitWatches(1);
         registry.news.add(list(
                 2,
@@ -385,18 +386,18 @@
     /** The old agent may have an answer under way, whose hosts are those of before the move. */
     @Test
     void anAgentThatWasLeftIsNotHeard() throws Exception {
-        Server gone = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
+        Server gone = host(GatewayServerTest::echo);
+        Server fresh = host(GatewayServerTest::echo);
         CountDownLatch moved = new CountDownLatch(1);
         Server old = kept(new Server((m, s) -> {
             moved.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             s.getOutputStream().write(ok(list(900, true, entry("h0", gone.address(), "ready"))));
         }));
-        Node node = Sockets.node(Sockets.config(old.address(), "127.0.0.1:0"));
+        GatewayServer node = Sockets.node(Sockets.config(old.address(), "127.0.0.1:0"));
         ends.push(node::stop);
         assertNotNull(old.next());
         registry = kept(new Registry(list(1, true, entry("h1", fresh.address(), "ready"))));
-        node.reload(NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
+        node.reload(GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
                 .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
         awaitWatches(1);
         moved.countDown();
@@ -424,9 +425,9 @@
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String mine = "127.0.0.1:" + port;
-            Server host = host(NodeTest::echo);
+            Server host = host(GatewayServerTest::echo);
             registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-            Node node = Sockets.node(
+            GatewayServer node = Sockets.node(
                     Sockets.config(registry.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
             ends.push(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
@@ -452,8 +453,8 @@
     /** What waited in its socket while the loop was busy was once sent on as new, and answered to nobody. */
     @Test
     void whatABusyLoopReadsTooLateIsRefusedAtOnce() throws Exception {
-        Server host = host(NodeTest::echo);
-        Node node = nodeBefore(host);
+        Server host = host(GatewayServerTest::echo);
+        GatewayServer node = nodeBefore(host);
         Client client = client(node);
         assertEquals(200, client.send(view("r1", Sockets.PATIENCE_MS)).receive().status());
         CountDownLatch busy = new CountDownLatch(1);
@@ -488,7 +489,7 @@
             int port = freePort();
             String mine = "127.0.0.1:" + port;
             registry = kept(new Registry(list(1, true)));
-            Node node = Sockets.node(
+            GatewayServer node = Sockets.node(
                     Sockets.config(registry.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
             ends.push(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
@@ -510,7 +511,7 @@
             draining.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client busy = client(node).send(view("v", Sockets.PATIENCE_MS));
         Client idle = client(node);
         assertNotNull(host.next());
@@ -532,7 +533,7 @@
     /** Each once ended with its next answer: where gateways restart in turn, their clients then found none at all. */
     @Test
     void aDrainServesOnWhereClientsKeepTheirConnections() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client kept = client(node);
         assertEquals(
                 "for v ", kept.send(view("v", Sockets.PATIENCE_MS)).receive().text());
@@ -551,7 +552,7 @@
     /** Closing the listener resets who stands in its queue: they come while the loop is busy. */
     @Test
     void whoWaitsAtTheDoorIsServedBeforeANodeGivesWay() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        GatewayServer node = nodeBefore(host(SocketTest::echo));
         CountDownLatch came = new CountDownLatch(1);
         node.loop.execute(() -> {
             try {
@@ -578,8 +579,8 @@
     /** The next process of a gateway takes clients before the last one leaves. */
     @Test
     void twoNodesTakeClientsAtOneAddress() throws Exception {
-        Node first = nodeBefore(host(SocketTest::echo));
-        Node second = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer first = nodeBefore(host(SocketTest::echo));
+        GatewayServer second = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"127.0.0.1:" + first.port() + "\""));
         ends.push(second::stop);
         first.loop.submit(first::giveWay).sync();
@@ -597,17 +598,17 @@
     /** What is served late in a drain still has its wanted time before all ends, and that comes before the kill. */
     @Test
     void aDrainServesAsLongAsTheKillLeavesTime() {
-        assertEquals(new DrainTimes(500, 2401, 2926), DrainTimes.of(List.of(timed(399, 1754), timed(525, 2626))));
-        assertEquals(new DrainTimes(500, 1000, 3000), DrainTimes.of(List.of(timed(2000, 7500))));
-        assertEquals(new DrainTimes(500, 780, 900), DrainTimes.of(List.of(timed(120, 600))));
-        assertEquals(new DrainTimes(500, 500, 500), DrainTimes.of(List.of(timed(150, 150))));
+        assertEquals(new DrainTimings(500, 2401, 2926), DrainTimings.of(List.of(timed(399, 1754), timed(525, 2626))));
+        assertEquals(new DrainTimings(500, 1000, 3000), DrainTimings.of(List.of(timed(2000, 7500))));
+        assertEquals(new DrainTimings(500, 780, 900), DrainTimings.of(List.of(timed(120, 600))));
+        assertEquals(new DrainTimings(500, 500, 500), DrainTimings.of(List.of(timed(150, 150))));
     }
 
     /** Nothing may be left open when the process is killed: what still runs then is failed or refused before. */
     @Test
     void aDrainEndsWhatAHostNeverAnswers() throws Exception {
         Server host = host((m, s) -> {});
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client c = client(node).send(order("o", "b"));
         assertNotNull(host.next());
         node.loop.submit(node::drain).sync();
@@ -675,9 +676,9 @@
         }
     }
 
-    private Node scripted(Function<PolicyActions, PolicyEvents> module) throws IOException {
+    private GatewayServer scripted(Function<PolicyActions, PolicyEvents> module) throws IOException {
         registry = kept(new Registry(list(1, true)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"), module);
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"), module);
         ends.push(node::stop);
         return node;
     }
@@ -695,7 +696,7 @@
                 s.getOutputStream().write(bytes(answers.get(m.header("X-Trace-Id")) + "Content-Length: 0\r\n\r\n")));
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         BlockingQueue<AttemptResult> ended = new LinkedBlockingQueue<>();
-        Node node = Sockets.node(
+        GatewayServer node = Sockets.node(
                 Sockets.config(registry.server.address(), "127.0.0.1:0")
                         .replace("\"servers\": []", "\"servers\": [" + entry("h0", host.address(), "ready") + "]"),
                 act -> new Scripted((now, r) -> act.sendAttempt(r.id(), "h0", 0), r -> {
@@ -717,7 +718,7 @@
     /** What the module forgets or breaks on is failed, not refused: it may have run (rules 1 and 2). */
     @Test
     void aModuleThatThrowsStillCostsNoAnswer() throws Exception {
-        Node node = scripted(act -> new Scripted((now, r) -> {
+        GatewayServer node = scripted(act -> new Scripted((now, r) -> {
             if (r.requestClass().equals("view")) {
                 throw new IllegalStateException("made up by the test");
             }
@@ -731,7 +732,7 @@
     /** Only the first final answer goes out; a second one would be taken for the next request's. */
     @Test
     void aModuleThatAnswersTwiceIsHeardOnce() throws Exception {
-        Node node = scripted(act -> new Scripted((now, r) -> {
+        GatewayServer node = scripted(act -> new Scripted((now, r) -> {
             if (r.requestClass().equals("view")) {
                 act.fail(r.id());
             }
@@ -755,7 +756,7 @@
             echo(m, s);
         });
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 20"));
         ends.push(node::stop);
         Client held = client(node).send(view("held", Sockets.PATIENCE_MS));
@@ -783,10 +784,11 @@
                 Sockets.config("127.0.0.1:1", "127.0.0.1:0").replace("by_key", "by_luck"))) {
             Exception e = assertThrows(
                     RuntimeException.class,
-                    () -> NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper().readTree(bad)));
+                    () -> GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper().readTree(bad)));
             assertEquals(1, e.getMessage().lines().count());
         }
-        NodeConfig.BadConfig missing = assertThrows(NodeConfig.BadConfig.class, () -> NodeConfig.read("/no/such/file"));
+        GatewayConfig.BadConfig missing =
+                assertThrows(GatewayConfig.BadConfig.class, () -> GatewayConfig.read("/no/such/file"));
         assertEquals(1, missing.getMessage().lines().count());
     }
 }
--- a/src/test/java/caperrudder/net/HostAnswersTest.java
+++ b/src/test/java/caperrudder/server/HostAnswersTest.java
@@ -1,16 +1,16 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.bytes;
-import static caperrudder.net.Sockets.ok;
-import static caperrudder.net.Sockets.order;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.bytes;
+import static caperrudder.server.Sockets.ok;
+import static caperrudder.server.Sockets.order;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Server;
 import java.net.Socket;
 import java.util.List;
 import java.util.Map;
@@ -182,7 +182,7 @@
             used.add(s);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client c = client(node);
         assertEquals("for v ", c.send(view("v", Sockets.PATIENCE_MS)).receive().text());
         awaitClock(node, node.clock.now() + 50); // it may carry the next request now
--- a/src/test/java/caperrudder/net/LateConnectionTest.java
+++ b/src/test/java/caperrudder/server/LateConnectionTest.java
@@ -1,13 +1,13 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.entry;
-import static caperrudder.net.Sockets.list;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.entry;
+import static caperrudder.server.Sockets.list;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Registry;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Registry;
+import caperrudder.server.Sockets.Server;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -82,7 +82,7 @@
     void aConnectionThatComesUpAfterADrainWasToldCarriesNothing(String state) throws Exception {
         Shut late = kept(new Shut());
         Server fresh = host(SocketTest::echo);
-        Node node = nodeWith(entry("h0", late.address(), "ready"));
+        GatewayServer node = nodeWith(entry("h0", late.address(), "ready"));
         awaitWatches(1);
         Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
         awaitCurrent(node, 1);
@@ -99,7 +99,7 @@
     void aRequestWhoseClientLeavesUnderANewConnectionIsNotSent(boolean cancel) throws Exception {
         Shut late = kept(new Shut());
         registry = kept(new Registry(list(1, true, entry("h0", late.address(), "ready"))));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"cancel\": true", "\"cancel\": " + cancel));
         ends.push(node::stop);
         Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
@@ -120,7 +120,7 @@
     @Test
     void aClientWhoseEndIsUnreadAsTheConnectionComesUpIsNotSentFor() throws Exception {
         Shut late = kept(new Shut());
-        Node node = nodeWith(entry("h0", late.address(), "ready"));
+        GatewayServer node = nodeWith(entry("h0", late.address(), "ready"));
         awaitWatches(1);
         Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
         awaitCurrent(node, 1);
--- a/src/test/java/caperrudder/net/LeavingClientTest.java
+++ b/src/test/java/caperrudder/server/LeavingClientTest.java
@@ -1,17 +1,18 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.bytes;
-import static caperrudder.net.Sockets.entry;
-import static caperrudder.net.Sockets.list;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.bytes;
+import static caperrudder.server.Sockets.entry;
+import static caperrudder.server.Sockets.list;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Server;
+import caperrudder.server.admin.MetricsSnapshot;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -22,7 +23,7 @@
     private static final int TIME = Sockets.PATIENCE_MS;
 
     /** From now on there is a host, and only what another client asks comes to it. */
-    private void assertOnlyOthersAreServed(Node node, int watches) throws Exception {
+    private void assertOnlyOthersAreServed(GatewayServer node, int watches) throws Exception {
         Server host = host(SocketTest::echo);
         registry.news.add(list(9, false, entry("late", host.address(), "ready")));
         awaitWatches(watches + 1);
@@ -32,7 +33,7 @@
 
     @Test
     void inTheQueue() throws Exception {
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         awaitWatches(1);
         Client c = client(node).send(view("v", TIME));
         awaitCurrent(node, 1);
@@ -50,7 +51,7 @@
             s.getOutputStream().write(bytes("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
             turnedAway.countDown();
         });
-        Node node = nodeBefore(full);
+        GatewayServer node = nodeBefore(full);
         awaitWatches(1);
         Client c = client(node).send(view("v", TIME));
         assertNotNull(full.next());
@@ -67,7 +68,7 @@
     /** A connection that was not read did not tell that its client had left: the request went out all the same. */
     @Test
     void whileItsConnectionIsNotReadForAllThatWasSentAhead() throws Exception {
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         awaitWatches(1);
         StringBuilder ahead = new StringBuilder();
         for (int i = 0; i < 24; i++) { // more than are read ahead
@@ -82,7 +83,7 @@
 
     @Test
     void whileItsConnectionIsNotReadForItsBadRequests() throws Exception {
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         awaitWatches(1);
         String bad = view("b", TIME).replace("units=1", "units=x");
         Client c = client(node).send(bad + bad + bad + view("v", TIME));
@@ -95,7 +96,7 @@
     /** What was kept of it while it was not read comes in its order, whole. */
     @Test
     void whatWasSentAheadIsServedWhereItsClientStays() throws Exception {
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         awaitWatches(1);
         StringBuilder ahead = new StringBuilder();
         for (int i = 0; i < 100; i++) {
@@ -129,20 +130,20 @@
     /** With more than 4 KiB unread behind the request that waits its client's end was not seen. */
     @Test
     void behindALotThatWasSentAhead() throws Exception {
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         awaitWatches(1);
         Client c = client(node).send(views(100_000));
         awaitCurrent(node, 1);
         c.close();
         awaitCurrent(node, 0);
-        Figures.Ended views = node.figures().classes().get(0);
+        MetricsSnapshot.Ended views = node.figures().classes().get(0);
         assertEquals(List.of(0L, 1L), List.of(views.deferred(), views.errored()), "refused when its time was up");
         assertOnlyOthersAreServed(node, 1);
     }
 
     /** Nothing tells that it has left before the attempt of its first request is to begin. */
     private void assertNoAttemptOnceItLeft(String sent) throws Exception {
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         awaitWatches(1);
         Client c = client(node).send(sent);
         awaitCurrent(node, 1);
@@ -166,7 +167,7 @@
     /** What was kept is served in its order; what came beyond is refused, and the connection ends. */
     @Test
     void whoStaysBehindMoreThanIsKeptIsServedWhatWasKept() throws Exception {
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         awaitWatches(1);
         Client c = client(node).send(views(250_000));
         awaitCurrent(node, 1);
@@ -188,7 +189,7 @@
     @Test
     void aLongBodyThatIsCutOffBehindOtherRequestsReachesNoHost() throws Exception {
         registry = kept(new Sockets.Registry(list(1, true)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"memory_mb\": 192", "\"memory_mb\": 1"));
         ends.push(node::stop);
         awaitWatches(1);
@@ -211,7 +212,7 @@
     @Test
     void itsEndStandsInItsSocketAsAnAttemptBegins() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         awaitWatches(1);
         assertEquals("for u ", client(node).send(view("u", TIME)).receive().text());
         double rested = node.clock.now() + 50; // its connection may carry the next
@@ -237,7 +238,7 @@
     @Test
     void itsRequestAndItsEndStoodInItsSocketWhileTheLoopWasBusy() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client other = client(node);
         assertEquals("for u ", other.send(view("u", TIME)).receive().text());
         Client c = client(node).send("GET /healthz HTTP/1.1\r\n\r\n");
@@ -253,7 +254,7 @@
     @Test
     void inThePauseAfterBadRequestsBehindMoreThanIsKept() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         assertEquals("for u ", client(node).send(view("u", TIME)).receive().text());
         String bad = view("b", TIME).replace("units=1", "units=x");
         Client c = client(node).send(bad + bad);
@@ -271,7 +272,7 @@
     @Test
     void rightBehindALongBody() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client other = client(node);
         assertEquals("for u ", other.send(view("u", TIME)).receive().text());
         double rested = node.clock.now() + 50;
--- a/src/test/java/caperrudder/net/SuccessionTest.java
+++ b/src/test/java/caperrudder/server/ProcessHandoverTest.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,7 +10,11 @@
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Snapshot;
-import caperrudder.net.HandoverFiles.Claim;
+import caperrudder.server.handover.HandoverFiles;
+import caperrudder.server.handover.HandoverFiles.Claim;
+import caperrudder.server.handover.ProcessHandover;
+import caperrudder.server.handover.SnapshotCodec;
+import caperrudder.server.runtime.Clock;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -25,7 +29,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What the processes of one gateway leave each other. */
-class SuccessionTest {
+class ProcessHandoverTest {
     private static final long LONGEST_MS = 8000;
 
     @TempDir
@@ -33,7 +37,7 @@
 
     private final Clock clock = new Clock();
     private final BlockingQueue<Snapshot> taken = new LinkedBlockingQueue<>();
-    private final List<Succession> begun = new ArrayList<>();
+    private final List<ProcessHandover> begun = new ArrayList<>();
     private volatile boolean beside;
     private Process other; // a process that lives
     private HandoverFiles files;
@@ -46,7 +50,7 @@
 
     @AfterEach
     void end() throws Exception {
-        for (Succession s : begun) {
+        for (ProcessHandover s : begun) {
             s.end();
         }
         other.destroyForcibly();
@@ -61,12 +65,12 @@
                 List.of(new ClassSnapshot("c", 1, 2, 3, 4, 5, 6)));
     }
 
-    private Succession succession() {
-        Succession s = new Succession(
-                new Succession.Party() {
+    private ProcessHandover succession() {
+        ProcessHandover s = new ProcessHandover(
+                new ProcessHandover.Party() {
                     @Override
                     public Snapshot books() {
-                        return SuccessionTest.this.books(clock.now());
+                        return ProcessHandoverTest.this.books(clock.now());
                     }
 
                     @Override
@@ -88,24 +92,24 @@
     @Test
     void booksComeBackAsTheyWereAndTornOnesNotAtAll() throws Exception {
         Snapshot b = books(12.5);
-        byte[] bytes = BooksFormat.write(b);
-        assertEquals(b, BooksFormat.read(bytes));
+        byte[] bytes = SnapshotCodec.write(b);
+        assertEquals(b, SnapshotCodec.read(bytes));
         for (int length = 0; length < bytes.length; length++) {
-            assertNull(BooksFormat.read(Arrays.copyOf(bytes, length)), "torn at " + length);
+            assertNull(SnapshotCodec.read(Arrays.copyOf(bytes, length)), "torn at " + length);
         }
         for (int at = 0; at < bytes.length; at++) {
             byte[] damaged = bytes.clone();
             damaged[at] ^= 0x10;
-            assertNull(BooksFormat.read(damaged), "damaged at " + at);
+            assertNull(SnapshotCodec.read(damaged), "damaged at " + at);
         }
     }
 
     @Test
     void withoutAFolderOrAnotherProcessAllIsAsEver() {
-        Succession none = new Succession(null, "", clock);
+        ProcessHandover none = new ProcessHandover(null, "", clock);
         assertNull(none.left());
         assertFalse(none.isSucceeded());
-        Succession alone = succession();
+        ProcessHandover alone = succession();
         alone.begin();
         assertEquals(LONGEST_MS, alone.warmUpMs(LONGEST_MS));
         assertFalse(beside);
@@ -128,7 +132,7 @@
     void aSuccessorIsBesideAndHearsOfLaterUse() throws Exception {
         files.write(new Claim(other.pid(), true));
         files.write(books(clock.now()));
-        Succession s = succession();
+        ProcessHandover s = succession();
         s.begin();
         assertTrue(beside);
         assertTrue(s.warmUpMs(LONGEST_MS) < LONGEST_MS);
@@ -149,7 +153,7 @@
 
     @Test
     void aProcessThatIsFollowedLeavesItsBooksAndGivesWayOnlyToOneThatServes() throws Exception {
-        Succession s = succession();
+        ProcessHandover s = succession();
         s.begin();
         s.serving();
         files.write(new Claim(other.pid(), false));
--- a/src/test/java/caperrudder/net/ProcessTest.java
+++ b/src/test/java/caperrudder/server/ProcessTest.java
@@ -1,10 +1,10 @@
-package caperrudder.net;
+package caperrudder.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Message;
+import caperrudder.server.Sockets.Message;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -424,7 +424,7 @@
                     .filter(l -> l.startsWith("warm after "))
                     .findFirst()
                     .orElseThrow();
-            assertTrue(Integer.parseInt(warm.split(" ")[2]) <= WarmUp.ENOUGH, warm);
+            assertTrue(Integer.parseInt(warm.split(" ")[2]) <= StartupWarmUp.ENOUGH, warm);
         }
     }
 
--- a/src/test/java/caperrudder/net/RepeatTest.java
+++ b/src/test/java/caperrudder/server/RepeatTest.java
@@ -1,15 +1,15 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.bytes;
-import static caperrudder.net.Sockets.entry;
-import static caperrudder.net.Sockets.list;
-import static caperrudder.net.Sockets.order;
+import static caperrudder.server.Sockets.bytes;
+import static caperrudder.server.Sockets.entry;
+import static caperrudder.server.Sockets.list;
+import static caperrudder.server.Sockets.order;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Registry;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Registry;
+import caperrudder.server.Sockets.Server;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.Map;
@@ -39,13 +39,13 @@
                     (m, s) -> s.getOutputStream() // without the word that it never ran
                             .write(bytes("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")));
 
-    private Node node(String effect, Server... hosts) throws IOException {
+    private GatewayServer node(String effect, Server... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = entry("h" + i, hosts[i].address(), "ready");
         }
         registry = kept(new Registry(list(1, true, entries)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"effect\": \"by_key\"", "\"effect\": \"" + effect + "\""));
         ends.push(node::stop);
         return node;
@@ -93,7 +93,7 @@
         Server full = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
         Server good = host(SocketTest::echo);
-        Node node = node(effect, full, good);
+        GatewayServer node = node(effect, full, good);
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     "for o" + i + " b",
--- a/src/test/java/caperrudder/net/SocketTest.java
+++ b/src/test/java/caperrudder/server/SocketTest.java
@@ -1,15 +1,15 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.entry;
-import static caperrudder.net.Sockets.list;
-import static caperrudder.net.Sockets.ok;
+import static caperrudder.server.Sockets.entry;
+import static caperrudder.server.Sockets.list;
+import static caperrudder.server.Sockets.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Registry;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Registry;
+import caperrudder.server.Sockets.Server;
 import io.netty.buffer.PooledByteBufAllocator;
 import java.io.Closeable;
 import java.io.IOException;
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.BeforeAll;
 
 /** A node between real sockets, which all end with the test, and no buffer of which may be lost. */
-abstract class SocketTest {
+public abstract class SocketTest {
     private static final Logger LEAKS = Logger.getLogger("io.netty.util.ResourceLeakDetector");
     private static final List<String> LEAKED = new CopyOnWriteArrayList<>();
     private static final Handler NOTE = new Handler() {
@@ -43,8 +43,8 @@
         public void close() {}
     };
 
-    final Deque<Closeable> ends = new ArrayDeque<>();
-    Registry registry;
+    public final Deque<Closeable> ends = new ArrayDeque<>();
+    public Registry registry;
 
     @BeforeAll
     static void noteLeaks() {
@@ -69,27 +69,27 @@
         }
     }
 
-    <T extends Closeable> T kept(T end) {
+    public <T extends Closeable> T kept(T end) {
         ends.push(end);
         return end;
     }
 
-    Server host(Sockets.Answer answer) throws IOException {
+    public Server host(Sockets.Answer answer) throws IOException {
         return kept(new Server(answer));
     }
 
-    static void echo(Message m, java.net.Socket s) throws IOException {
+    public static void echo(Message m, java.net.Socket s) throws IOException {
         s.getOutputStream().write(ok("for " + m.header("X-Trace-Id") + " " + m.text()));
     }
 
-    Node nodeWith(String... entries) throws IOException {
+    public GatewayServer nodeWith(String... entries) throws IOException {
         registry = kept(new Registry(list(1, true, entries)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"));
+        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"));
         ends.push(node::stop);
         return node;
     }
 
-    Node nodeBefore(Server... hosts) throws IOException {
+    public GatewayServer nodeBefore(Server... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = entry("h" + i, hosts[i].address(), "ready");
@@ -97,12 +97,12 @@
         return nodeWith(entries);
     }
 
-    Client client(Node node) throws IOException {
+    public Client client(GatewayServer node) throws IOException {
         return kept(new Client(node));
     }
 
     /** Keeps the node's event loop busy until the latch is counted down. */
-    static CountDownLatch holdLoop(Node node) throws InterruptedException {
+    static CountDownLatch holdLoop(GatewayServer node) throws InterruptedException {
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch released = new CountDownLatch(1);
         node.loop.execute(() -> {
@@ -117,13 +117,13 @@
         return released;
     }
 
-    static void awaitClock(Node node, double ms) {
+    static void awaitClock(GatewayServer node, double ms) {
         while (node.clock.now() < ms) {
             Thread.onSpinWait();
         }
     }
 
-    static void awaitCurrent(Node node, long count) throws Exception {
+    static void awaitCurrent(GatewayServer node, long count) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
         while (node.figures().current() != count) {
             assertTrue(System.nanoTime() < end, "not " + count + " requests open");
@@ -131,7 +131,7 @@
         }
     }
 
-    void awaitWatches(int count) throws InterruptedException {
+    public void awaitWatches(int count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
         while (registry.server.asked.stream()
                         .filter(m -> m.start().contains("from="))
--- a/src/test/java/caperrudder/net/Sockets.java
+++ b/src/test/java/caperrudder/server/Sockets.java
@@ -1,8 +1,9 @@
-package caperrudder.net;
+package caperrudder.server;
 
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
 import caperrudder.policy.TrafficPolicy;
+import caperrudder.server.config.GatewayConfig;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -23,14 +24,14 @@
 import java.util.function.Function;
 
 /** The other ends of a node's sockets, on ports that the system chooses. */
-final class Sockets {
-    static final int PATIENCE_MS = 30_000; // how long a test waits for what must come
+public final class Sockets {
+    public static final int PATIENCE_MS = 30_000; // how long a test waits for what must come
 
     private Sockets() {}
 
     /** An HTTP message as it came over a socket; {@code whole} is false where the connection ended inside it. */
-    record Message(String start, Map<String, String> headers, byte[] body) {
-        int status() {
+    public record Message(String start, Map<String, String> headers, byte[] body) {
+        public int status() {
             return Integer.parseInt(start.split(" ")[1]);
         }
 
@@ -38,13 +39,13 @@
             return headers.get(name.toLowerCase(java.util.Locale.ROOT));
         }
 
-        String text() {
+        public String text() {
             return new String(body, StandardCharsets.ISO_8859_1);
         }
     }
 
     /** The next message, or null where the connection ends before or inside it. */
-    static Message read(InputStream in) throws IOException {
+    public static Message read(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int b = in.read();
@@ -66,35 +67,35 @@
         return body.length < length ? null : new Message(lines[0], headers, body);
     }
 
-    static byte[] bytes(String text) {
+    public static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    static byte[] ok(String body) {
+    public static byte[] ok(String body) {
         return bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     /** What a server does with a request; it may keep the socket, write to it or close it. */
-    interface Answer {
+    public interface Answer {
         void to(Message request, Socket socket) throws IOException, InterruptedException;
     }
 
     /** A server that notes what it is asked and answers by script. */
-    static class Server implements Closeable {
-        final List<Message> asked = new CopyOnWriteArrayList<>();
+    public static class Server implements Closeable {
+        public final List<Message> asked = new CopyOnWriteArrayList<>();
         final BlockingQueue<Message> arrivals = new LinkedBlockingQueue<>();
-        final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>(); // connections that the other side ended
+        public final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>(); // connections that the other side ended
         private final ServerSocket listener;
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
         private final Answer answer;
 
-        Server(Answer answer) throws IOException {
+        public Server(Answer answer) throws IOException {
             this.answer = answer;
             listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             thread(this::accept);
         }
 
-        String address() {
+        public String address() {
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
@@ -129,7 +130,7 @@
             ended.add(s);
         }
 
-        Message next() throws InterruptedException {
+        public Message next() throws InterruptedException {
             return arrivals.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
         }
 
@@ -143,12 +144,12 @@
     }
 
     /** Discovery: one list, and watches that hold until a further answer is put in. */
-    static final class Registry implements Closeable {
-        final BlockingQueue<String> news = new LinkedBlockingQueue<>();
-        final Server server;
+    public static final class Registry implements Closeable {
+        public final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+        public final Server server;
         volatile String whole;
 
-        Registry(String whole) throws IOException {
+        public Registry(String whole) throws IOException {
             this.whole = whole;
             server = new Server((m, s) -> {
                 String body = m.start().contains("from=") ? news.take() : this.whole;
@@ -162,30 +163,30 @@
         }
     }
 
-    static String list(int version, boolean full, String... entries) {
+    public static String list(int version, boolean full, String... entries) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 
-    static String entry(String id, String address, String state) {
+    public static String entry(String id, String address, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"a\",\"kind\":\"k\",\"cell\":0,"
                 + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
     /** A client's connection. */
-    static final class Client implements Closeable {
+    public static final class Client implements Closeable {
         final Socket socket;
 
-        Client(Node node) throws IOException {
+        Client(GatewayServer node) throws IOException {
             socket = new Socket(InetAddress.getLoopbackAddress(), node.port());
             socket.setSoTimeout(PATIENCE_MS);
         }
 
-        Client send(String text) throws IOException {
+        public Client send(String text) throws IOException {
             socket.getOutputStream().write(bytes(text));
             return this;
         }
 
-        Message receive() throws IOException {
+        public Message receive() throws IOException {
             return read(socket.getInputStream());
         }
 
@@ -195,11 +196,11 @@
         }
     }
 
-    static String view(String id, int expiresMs) {
+    public static String view(String id, int expiresMs) {
         return "GET /view/" + id + "?z=3 HTTP/1.1\r\nHost: h\r\n" + headers(id, expiresMs) + "\r\n";
     }
 
-    static String order(String id, String body) {
+    public static String order(String id, String body) {
         return "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers(id, PATIENCE_MS) + "Idempotency-Key: key-" + id
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
@@ -210,7 +211,7 @@
     }
 
     /** A node's configuration with one class that is safe to repeat and one keyed. */
-    static String config(String discovery, String peerListen, String... peers) {
+    public static String config(String discovery, String peerListen, String... peers) {
         List<String> quoted = new ArrayList<>();
         for (String p : peers) {
             quoted.add('"' + p + '"');
@@ -233,12 +234,12 @@
                 .formatted(discovery, peerListen, String.join(",", quoted), Math.max(1, peers.length));
     }
 
-    static Node node(String config) throws IOException {
+    public static GatewayServer node(String config) throws IOException {
         return node(config, TrafficPolicy::new);
     }
 
-    static Node node(String config, Function<PolicyActions, PolicyEvents> module) throws IOException {
-        Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), module);
+    static GatewayServer node(String config, Function<PolicyActions, PolicyEvents> module) throws IOException {
+        GatewayServer node = new GatewayServer(GatewayConfig.of(new ObjectMapper().readTree(config)), module);
         node.start();
         return node;
     }
--- a/src/test/java/caperrudder/net/WarmUpTest.java
+++ b/src/test/java/caperrudder/server/StartupWarmUpTest.java
@@ -1,12 +1,13 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Server;
+import caperrudder.server.config.GatewayConfig;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
@@ -14,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The made-up clients before the first real one. */
-class WarmUpTest extends SocketTest {
+class StartupWarmUpTest extends SocketTest {
     private static final int FEW = 200;
 
-    private static NodeConfig config() throws Exception {
-        return NodeConfig.of(new ObjectMapper().readTree(Sockets.config("127.0.0.1:1", "127.0.0.1:0")));
+    private static GatewayConfig config() throws Exception {
+        return GatewayConfig.of(new ObjectMapper().readTree(Sockets.config("127.0.0.1:1", "127.0.0.1:0")));
     }
 
     private static Set<String> loops() {
@@ -32,7 +33,7 @@
     @Test
     void answersAllAndLeavesNothingBehind() throws Exception {
         Set<String> before = loops();
-        assertEquals(FEW, WarmUp.run(config(), FEW, Sockets.PATIENCE_MS, () -> false));
+        assertEquals(FEW, StartupWarmUp.run(config(), FEW, Sockets.PATIENCE_MS, () -> false));
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
         while (!before.containsAll(loops())) {
             assertTrue(System.nanoTime() < end, "runs on");
@@ -43,7 +44,7 @@
     /** What it did to quotas, hosts and bounds was done to other modules: the first real customer finds all new. */
     @Test
     void leavesTheRealNodeAsItWas() throws Exception {
-        WarmUp.run(config(), FEW, Sockets.PATIENCE_MS, () -> false);
+        StartupWarmUp.run(config(), FEW, Sockets.PATIENCE_MS, () -> false);
         Server host = host(SocketTest::echo);
         Client client = client(nodeBefore(host));
         Message answer = client.send(view("r1", Sockets.PATIENCE_MS)
--- a/src/test/java/caperrudder/net/StreamingTest.java
+++ b/src/test/java/caperrudder/server/StreamingTest.java
@@ -1,18 +1,18 @@
-package caperrudder.net;
+package caperrudder.server;
 
-import static caperrudder.net.Sockets.bytes;
-import static caperrudder.net.Sockets.headers;
-import static caperrudder.net.Sockets.order;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.bytes;
+import static caperrudder.server.Sockets.headers;
+import static caperrudder.server.Sockets.order;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Server;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -178,7 +178,7 @@
             s.getOutputStream().write(content(LONG / 2));
             s.close();
         });
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
         assertTrue(head(c.socket.getInputStream()).startsWith("HTTP/1.1 200"));
         int got = 0;
@@ -253,7 +253,7 @@
         Server host = host((m, s) -> {});
         byte[] body = content(LONG);
         Server raw = rawHost(arriving);
-        Node node = nodeBefore(raw);
+        GatewayServer node = nodeBefore(raw);
         Client c = client(node)
                 .send(ORDER + "Content-Length: " + LONG + "\r\n\r\n"
                         + text(body).substring(0, LONG / 2));
@@ -287,7 +287,7 @@
         t.start();
         return new Server((m, s) -> {}) {
             @Override
-            String address() {
+            public String address() {
                 return "127.0.0.1:" + listener.getLocalPort();
             }
         };
@@ -324,7 +324,7 @@
     @Test
     void aLongBodyGoesOnWhereTheFirstHostIsDown() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node =
+        GatewayServer node =
                 nodeWith(Sockets.entry("dead", "127.0.0.1:1", "ready"), Sockets.entry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             String body = text(content(200_000));
--- a/src/test/java/caperrudder/net/AdminServerTest.java
+++ b/src/test/java/caperrudder/server/admin/AdminServerTest.java
@@ -1,14 +1,18 @@
-package caperrudder.net;
+package caperrudder.server.admin;
 
-import static caperrudder.net.Sockets.order;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.order;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Message;
-import caperrudder.net.Sockets.Server;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.SocketTest;
+import caperrudder.server.Sockets;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Message;
+import caperrudder.server.Sockets.Server;
+import caperrudder.server.config.GatewayConfig;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -24,7 +28,7 @@
     private static final int FEW_SOCKETS = 100; // room for the fewest callers
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
-    private AdminServer admin(Node node) throws IOException {
+    private AdminServer admin(GatewayServer node) throws IOException {
         return kept(new AdminServer(ANY, FEW_SOCKETS, node::isReady, node::figures));
     }
 
@@ -69,7 +73,7 @@
     @Test
     void isReadyFromTheListenersStartToItsClose() throws Exception {
         registry = kept(new Sockets.Registry(Sockets.list(1, true)));
-        Node node = new Node(NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
+        GatewayServer node = new GatewayServer(GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
                 .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
         ends.push(node::stop);
         AdminServer admin = admin(node);
@@ -93,7 +97,7 @@
             }
             echo(m, s);
         });
-        Node node = nodeBefore(host);
+        GatewayServer node = nodeBefore(host);
         AdminServer admin = admin(node);
         Client c = client(node);
         String tiny = view("t", Sockets.PATIENCE_MS)
@@ -140,7 +144,7 @@
     /** What its thread answers from was made before, so a loop that stands still delays no call. */
     @Test
     void answersWhileTheLoopOfClientsStandsStill() throws Exception {
-        Node node = nodeBefore();
+        GatewayServer node = nodeBefore();
         AdminServer admin = admin(node);
         CountDownLatch released = new CountDownLatch(1);
         node.loop.execute(() -> {
--- a/src/test/java/caperrudder/net/JsonTreeTest.java
+++ b/src/test/java/caperrudder/server/config/JsonTreeReaderTest.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The tree is the one that the library's mapper makes. */
-class JsonTreeTest {
+class JsonTreeReaderTest {
     private static JsonNode read(String text) throws IOException {
-        return JsonTree.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
+        return JsonTreeReader.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     @ParameterizedTest
