--- a/src/test/java/caperrudder/net/DiscoveryTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
@@ -1,19 +1,24 @@
-package caperrudder.net;
+package caperrudder.server.discovery;
 
-import static caperrudder.net.Sockets.bytes;
-import static caperrudder.net.Sockets.entry;
-import static caperrudder.net.Sockets.list;
-import static caperrudder.net.Sockets.ok;
-import static caperrudder.net.Sockets.view;
+import static caperrudder.server.Sockets.bytes;
+import static caperrudder.server.Sockets.entry;
+import static caperrudder.server.Sockets.list;
+import static caperrudder.server.Sockets.ok;
+import static caperrudder.server.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.net.Sockets.Client;
-import caperrudder.net.Sockets.Server;
 import caperrudder.policy.TrafficPolicy;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.SocketTest;
+import caperrudder.server.Sockets;
+import caperrudder.server.Sockets.Client;
+import caperrudder.server.Sockets.Server;
+import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.runtime.Transport;
 import io.netty.channel.DefaultSelectStrategyFactory;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
@@ -31,11 +36,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Calls to discovery that fall silent, come late or are answered with what can't be a list. */
-class DiscoveryTest extends SocketTest {
+class DiscoveryClientTest extends SocketTest {
     private static final String NONE_KNOWN = "{\"version\": 0, \"full\": true, \"servers\": []}";
 
-    private Node node(Server agent, String known, String mode) throws IOException {
-        Node node = Sockets.node(Sockets.config(agent.address(), "127.0.0.1:0")
+    private GatewayServer node(Server agent, String known, String mode) throws IOException {
+        GatewayServer node = Sockets.node(Sockets.config(agent.address(), "127.0.0.1:0")
                 .replace(NONE_KNOWN, known)
                 .replace("\"az\": \"a\"", "\"az\": \"a\", \"discovery\": \"" + mode + "\"")
                 .replace("\"rules\": {", "\"rules\": {\"drain_grace_ms\": 500, "));
@@ -77,7 +82,7 @@
             }
         });
         answering.start();
-        Node node = node(agent.server, NONE_KNOWN, mode);
+        GatewayServer node = node(agent.server, NONE_KNOWN, mode);
         answering.join();
         Socket silent = agent.next(); // the watch
         long from = System.nanoTime();
@@ -98,7 +103,7 @@
         Server fresh = host(SocketTest::echo);
         ByHand agent = new ByHand();
         kept(agent.server);
-        Node node = node(agent.server, NONE_KNOWN, "automatic");
+        GatewayServer node = node(agent.server, NONE_KNOWN, "automatic");
         Socket silent = agent.next();
         long from = 0;
         for (int i = 0; i < 4; i++) {
@@ -135,7 +140,7 @@
                                 entry("h1", fresh.address(), "ready"))));
             }
         }));
-        Node node = node(agent, list(41, true, entry("h0", drained.address(), "ready")), "automatic");
+        GatewayServer node = node(agent, list(41, true, entry("h0", drained.address(), "ready")), "automatic");
         started.countDown();
         assertEquals(
                 "for v ",
@@ -161,7 +166,7 @@
     void whatIsNoListLeavesTheLastGoodOneAndIsAskedAgainLessAndLessOften(String bad) throws Exception {
         Server host = host(SocketTest::echo);
         Server agent = kept(new Server((m, s) -> s.getOutputStream().write(ok(bad))));
-        Node node = node(agent, list(41, true, entry("h0", host.address(), "ready")), "subscribe");
+        GatewayServer node = node(agent, list(41, true, entry("h0", host.address(), "ready")), "subscribe");
         for (int i = 0; i < 5; i++) {
             assertNotNull(agent.next());
         }
@@ -179,7 +184,7 @@
         Server host = host(SocketTest::echo);
         Server agent = kept(new Server((m, s) -> s.getOutputStream()
                 .write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + Long.MAX_VALUE + "\r\n\r\n{"))));
-        Node node = node(agent, list(41, true, entry("h0", host.address(), "ready")), "automatic");
+        GatewayServer node = node(agent, list(41, true, entry("h0", host.address(), "ready")), "automatic");
         assertNotNull(agent.next());
         assertNotNull(agent.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, agent.asked.size()); // the call was ended, not taken for one that is silent
@@ -214,13 +219,13 @@
                             .newSelectStrategy()
                             .calculateStrategy(select, hasTasks);
                 });
-        Node node = new Node(configured(agent), TrafficPolicy::new, Transport.TCP, group);
+        GatewayServer node = new GatewayServer(configured(agent), TrafficPolicy::new, Transport.TCP, group);
         ends.push(node::stop);
         node.start();
         assertNotNull(agent.next());
         assertNotNull(agent.next()); // once the list has been read
         int read = turns.get() - before.get();
-        int slices = list.length / Discovery.SLICE_BYTES;
+        int slices = list.length / DiscoveryClient.SLICE_BYTES;
         assertTrue(read >= slices, read + " turns for " + slices + " slices");
     }
 
@@ -239,7 +244,7 @@
                                 entry("h0", fresh.address(), "ready").replace("\"zone\":\"a\"", "\"zone\":\"b\""))));
             }
         }));
-        Node node = node(agent, list(41, true, entry("h0", old.address(), "ready")), "automatic");
+        GatewayServer node = node(agent, list(41, true, entry("h0", old.address(), "ready")), "automatic");
         assertNotNull(agent.next());
         assertTrue(agent.next().start().contains("from=7&"));
         assertEquals(
@@ -267,7 +272,7 @@
                 s.getOutputStream().write(ok(list(1, true, entry("h0", host.address(), "ready"))));
             }
         }));
-        Node node = node(agent, NONE_KNOWN, "automatic");
+        GatewayServer node = node(agent, NONE_KNOWN, "automatic");
         assertTrue(heard.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals(
                 "for v ",
@@ -287,7 +292,7 @@
                                 .replace("}", "\n}\n")));
             }
         }));
-        Node node = node(agent, NONE_KNOWN, "automatic");
+        GatewayServer node = node(agent, NONE_KNOWN, "automatic");
         for (int i = 0; i < 2; i++) {
             assertNotNull(agent.next());
         }
@@ -347,7 +352,7 @@
         kept(old.server);
         kept(agent.server);
         String mode = way.split(" ")[0];
-        Node node = node(old.server, list(41, true, entry("h0", "127.0.0.1:1", "ready")), mode);
+        GatewayServer node = node(old.server, list(41, true, entry("h0", "127.0.0.1:1", "ready")), mode);
         old.answer(old.next(), list(42, false));
         long from = System.nanoTime();
         node.reload(configured(agent.server));
@@ -370,7 +375,7 @@
     @Test
     void theSameAddressAgainKeepsTheWatch() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         awaitWatches(1);
         node.reload(node.config);
         node.loop.submit(() -> {}).sync(); // it has been taken in
@@ -391,7 +396,7 @@
     void aMoveDuringAMoveIsFollowedToTheLastAgent() throws Exception {
         Server gone = host(SocketTest::echo);
         Server fresh = host(SocketTest::echo);
-        Node node = nodeWith();
+        GatewayServer node = nodeWith();
         ByHand between = new ByHand();
         kept(between.server);
         Server last = kept(new Server((m, s) -> {
@@ -421,8 +426,8 @@
         assertEquals(0, gone.asked.size());
     }
 
-    private static NodeConfig configured(Server agent) throws IOException {
-        return NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
+    private static GatewayConfig configured(Server agent) throws IOException {
+        return GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
                 .readTree(Sockets.config(agent.address(), "127.0.0.1:0")));
     }
 }
--- a/src/test/java/caperrudder/net/DiscoveryTimesTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryTimingsTest.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The longest ways of docs/incidents/discovery-longest-path.md, added up over many draws. */
-class DiscoveryTimesTest {
+class DiscoveryTimingsTest {
     private static final double TOLD_MS = 6000; // after discovery had a change and could be reached
     private static final double MOVED_MS = 4000; // after SIGHUP
     private static final double LINE_MS = 1500; // in which discovery answers a call that it does not refuse
@@ -25,7 +25,7 @@
         double line = pushed ? 0 : LINE_MS; // an agent nearby answers at once
         double shortLine = pushed ? 0 : SHORT_LINE_MS;
         for (int seed = 0; seed < SEEDS; seed++) {
-            DiscoveryTimes t = new DiscoveryTimes(pushed, graceMs, seed);
+            DiscoveryTimings t = new DiscoveryTimings(pushed, graceMs, seed);
             int failures = seed % 12;
             double rest = t.pauseMs(REFUSES_MS, failures, false);
             ends(rest + t.firstMs() + t.besideMs(), TOLD_MS, "rest, silence, a call beside it");
@@ -34,7 +34,7 @@
                     TOLD_MS,
                     "silence, refusal");
             ends(rest + line + t.pauseMs(REFUSES_MS, failures + 1, false) + line, TOLD_MS, "rest, refusal, rest");
-            ends(DiscoveryTimes.CONNECT_MS + rest + t.firstMs() + line, TOLD_MS, "connect, rest, silence");
+            ends(DiscoveryTimings.CONNECT_MS + rest + t.firstMs() + line, TOLD_MS, "connect, rest, silence");
             double watch = t.holdMs() + t.lineMs();
             ends(watch + line, TOLD_MS, "silent watch");
             ends(watch + t.pauseMs(REFUSES_MS, 0, true) + shortLine, TOLD_MS, "silent watch, refusal beside it");
@@ -60,10 +60,10 @@
         assertSpread(fleet, 38, t -> t.firstMs());
     }
 
-    private static void assertSpread(int fleet, int most, ToDoubleFunction<DiscoveryTimes> time) {
+    private static void assertSpread(int fleet, int most, ToDoubleFunction<DiscoveryTimings> time) {
         double[] calls = new Random(1)
                 .longs(fleet) // as configurations give them
-                .mapToDouble(seed -> time.applyAsDouble(new DiscoveryTimes(false, 500, seed)))
+                .mapToDouble(seed -> time.applyAsDouble(new DiscoveryTimings(false, 500, seed)))
                 .toArray();
         int together = Arrays.stream(calls)
                 .mapToInt(from -> (int) Arrays.stream(calls)
--- a/src/test/java/caperrudder/net/HostListReaderTest.java
+++ b/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,6 +8,9 @@
 
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
+import caperrudder.server.Sockets;
+import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.config.JsonTreeReader;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.sun.management.ThreadMXBean;
@@ -24,7 +27,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What is read in pieces is what a tree of the whole text holds. */
-class HostListReaderTest {
+class EndpointListReaderTest {
     private static final long ROOMY = 1L << 30;
     private static final String[] FIELDS = {
         "id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms", "other"
@@ -60,9 +63,9 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static HostList read(String text, int piece, long limitBytes) throws IOException {
+    private static EndpointList read(String text, int piece, long limitBytes) throws IOException {
         byte[] bytes = utf8(text);
-        try (HostListReader reader = new HostListReader(limitBytes)) {
+        try (EndpointListReader reader = new EndpointListReader(limitBytes)) {
             for (int at = 0; at < bytes.length; at += piece) {
                 byte[] part = new byte[piece];
                 int length = Math.min(piece, bytes.length - at);
@@ -75,12 +78,12 @@
     }
 
     /** The meaning of a list, by its tree; null where it is none. */
-    private static HostList byTree(String text) throws IOException {
-        JsonNode list = JsonTree.read(new ByteArrayInputStream(utf8(text)));
+    private static EndpointList byTree(String text) throws IOException {
+        JsonNode list = JsonTreeReader.read(new ByteArrayInputStream(utf8(text)));
         if (!list.path("version").isIntegralNumber() || !list.path("servers").isArray()) {
             return null;
         }
-        List<HostList.Entry> entries = new ArrayList<>();
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (JsonNode e : list.path("servers")) {
             String id = e.path("id").asText();
             HostState state = HostState.DRAINING;
@@ -95,13 +98,13 @@
                         };
                 address = told == HostState.GONE
                         ? null
-                        : NodeConfig.address(e.path("addr").asText());
+                        : GatewayConfig.address(e.path("addr").asText());
                 state = told;
             } catch (IllegalArgumentException bad) {
                 // drains
             }
             if (!id.isEmpty()) {
-                entries.add(new HostList.Entry(
+                entries.add(new EndpointList.Entry(
                         new Host(
                                 id,
                                 e.path("zone").asText(),
@@ -113,11 +116,11 @@
                         address));
             }
         }
-        return new HostList(
+        return new EndpointList(
                 Math.max(-1, list.path("version").asLong(-1)), list.path("full").asBoolean(), entries);
     }
 
-    private static HostList byPieces(String text, int piece) {
+    private static EndpointList byPieces(String text, int piece) {
         try {
             return read(text, piece, ROOMY);
         } catch (IOException e) {
@@ -126,7 +129,7 @@
     }
 
     private static void same(String text) throws IOException {
-        HostList tree = byTree(text);
+        EndpointList tree = byTree(text);
         for (int piece : new int[] {1, 7, 64, 1 << 16}) {
             assertEquals(tree, byPieces(text, piece), () -> "in pieces of " + piece + ": " + text);
         }
@@ -226,7 +229,7 @@
 
     @Test
     void textsOfManyHostsAreHeldOnce() throws IOException {
-        List<HostList.Entry> entries = read(many(300), 64, ROOMY).entries();
+        List<EndpointList.Entry> entries = read(many(300), 64, ROOMY).entries();
         assertEquals(300, entries.size());
         for (int i = 3; i < entries.size(); i++) {
             assertSame(entries.get(i % 3).host().zone(), entries.get(i).host().zone());
@@ -237,19 +240,19 @@
     /** As long as there is memory, and one line says how much there was. */
     @Test
     void aListOverTheLimitIsRefusedInOneLineWithItsSizeAndTheLimit() throws IOException {
-        long limit = 100L * HostListBuilder.HOST_BYTES;
+        long limit = 100L * EndpointListParser.HOST_BYTES;
         assertEquals(90, read(many(90), 64, limit).entries().size());
         String text = many(200);
-        HostList.TooLong refused = assertThrows(HostList.TooLong.class, () -> read(text, 64, limit));
+        EndpointList.TooLong refused = assertThrows(EndpointList.TooLong.class, () -> read(text, 64, limit));
         assertTrue(
                 refused.getMessage()
                         .matches("a list is refused, of which \\d+ bytes came: its first \\d\\d hosts " + "fill the "
                                 + limit + " bytes that memory allows for it"),
                 refused.getMessage());
-        try (HostListReader reader = new HostListReader(limit)) {
+        try (EndpointListReader reader = new EndpointListReader(limit)) {
             reader.announce(text.length());
-            HostList.TooLong announced =
-                    assertThrows(HostList.TooLong.class, () -> reader.feed(utf8(text), 0, text.length()));
+            EndpointList.TooLong announced =
+                    assertThrows(EndpointList.TooLong.class, () -> reader.feed(utf8(text), 0, text.length()));
             assertTrue(announced.getMessage().startsWith("a list of " + text.length() + " bytes is refused: "));
         }
     }
@@ -261,13 +264,13 @@
         for (int i = 0; text.length() < 200_000; i++) {
             text.append(filling.replace("#", "z" + i));
         }
-        assertThrows(HostList.TooLong.class, () -> read(text.append("{}]}").toString(), 1000, 100_000));
+        assertThrows(EndpointList.TooLong.class, () -> read(text.append("{}]}").toString(), 1000, 100_000));
     }
 
     @Test
     void aTextThatIsAnnouncedOverTheLimitIsNotReadAtAll() {
-        try (HostListReader reader = new HostListReader(1000)) {
-            HostList.TooLong refused = assertThrows(HostList.TooLong.class, () -> reader.announce(1001));
+        try (EndpointListReader reader = new EndpointListReader(1000)) {
+            EndpointList.TooLong refused = assertThrows(EndpointList.TooLong.class, () -> reader.announce(1001));
             assertEquals(
                     "a list of 1001 bytes is refused: its text alone is longer than the 1000 bytes that memory "
                             + "allows for it",
@@ -277,8 +280,8 @@
 
     @Test
     void aSmallHeapHasRoomForSomeHostsStill() {
-        assertTrue(HostListBuilder.limitBytes(1 << 20) / HostListBuilder.HOST_BYTES >= 900);
-        assertTrue(HostListBuilder.limitBytes(46 << 20) < 46 << 20);
+        assertTrue(EndpointListParser.limitBytes(1 << 20) / EndpointListParser.HOST_BYTES >= 900);
+        assertTrue(EndpointListParser.limitBytes(46 << 20) < 46 << 20);
     }
 
     /** What one host costs is the same in a long list as in a short one: nothing of the text is kept or copied. */
@@ -294,7 +297,7 @@
         ThreadMXBean thread = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         byte[] text = utf8(many(hosts));
         long before = thread.getCurrentThreadAllocatedBytes();
-        try (HostListReader reader = new HostListReader(ROOMY)) {
+        try (EndpointListReader reader = new EndpointListReader(ROOMY)) {
             for (int at = 0; at < text.length; at += 1 << 14) {
                 reader.feed(text, at, Math.min(1 << 14, text.length - at));
             }
@@ -305,12 +308,12 @@
 
     // ---- in a configuration
 
-    private static NodeConfig configured(String known) throws IOException {
+    private static GatewayConfig configured(String known) throws IOException {
         String config = Sockets.config("127.0.0.1:1", "127.0.0.1:0")
                 .replace("{\"version\": 0, \"full\": true, \"servers\": []}", known);
-        NodeConfig streamed = NodeConfig.read(new ByteArrayInputStream(utf8(config)), true);
-        assertEquals(NodeConfig.of(new ObjectMapper().readTree(config)), streamed);
-        NodeConfig again = NodeConfig.read(new ByteArrayInputStream(utf8(config)), false);
+        GatewayConfig streamed = GatewayConfig.read(new ByteArrayInputStream(utf8(config)), true);
+        assertEquals(GatewayConfig.of(new ObjectMapper().readTree(config)), streamed);
+        GatewayConfig again = GatewayConfig.read(new ByteArrayInputStream(utf8(config)), false);
         assertEquals(streamed.withoutKnown(), again);
         return streamed;
     }
--- a/src/test/java/caperrudder/net/HandoverFilesGoldenTest.java
+++ b/src/test/java/caperrudder/server/handover/HandoverFilesGoldenTest.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.handover;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,8 +7,9 @@
 
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.Snapshot;
-import caperrudder.net.HandoverFiles.Claim;
 import caperrudder.policy.GoldenFiles;
+import caperrudder.server.handover.HandoverFiles.Claim;
+import caperrudder.server.runtime.Clock;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -176,8 +177,8 @@
     /** Of a process that starts alone: first its claim as one that starts, then as one that serves, and no snapshot. */
     @Test
     void aProcessClaimsItsGatewayAsItStartsAndAsItServes() throws Exception {
-        Succession succession = new Succession(
-                new Succession.Party() {
+        ProcessHandover succession = new ProcessHandover(
+                new ProcessHandover.Party() {
                     @Override
                     public Snapshot books() {
                         return SnapshotGoldenTest.SNAPSHOT;
--- a/src/test/java/caperrudder/net/SnapshotGoldenTest.java
+++ b/src/test/java/caperrudder/server/handover/SnapshotGoldenTest.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.handover;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -72,8 +72,8 @@
     @Test
     void theGoldenSnapshotIsDecodedToItsFieldsAndEncodedToItsBytes() {
         byte[] golden = GoldenFiles.bytes(FILE);
-        assertEquals(SNAPSHOT, BooksFormat.read(golden));
-        assertArrayEquals(golden, BooksFormat.write(SNAPSHOT));
+        assertEquals(SNAPSHOT, SnapshotCodec.read(golden));
+        assertArrayEquals(golden, SnapshotCodec.write(SNAPSHOT));
         assertArrayEquals(golden, sealed(golden), "checksum and what it covers");
         assertEquals(VERSION, ByteBuffer.wrap(golden).getInt());
         assertEquals(3, ByteBuffer.wrap(golden).getInt(CUSTOMERS_AT));
@@ -82,8 +82,8 @@
     @Test
     void theGoldenSnapshotOfAnIdleGatewayIsDecodedAndEncodedAlike() {
         byte[] golden = GoldenFiles.bytes(EMPTY_FILE);
-        assertEquals(EMPTY, BooksFormat.read(golden));
-        assertArrayEquals(golden, BooksFormat.write(EMPTY));
+        assertEquals(EMPTY, SnapshotCodec.read(golden));
+        assertArrayEquals(golden, SnapshotCodec.write(EMPTY));
         assertEquals(40, golden.length);
     }
 
@@ -92,7 +92,7 @@
         byte[] golden = GoldenFiles.bytes(FILE);
         for (int length = 0; length < golden.length; length++) {
             byte[] torn = Arrays.copyOf(golden, length);
-            assertNull(BooksFormat.read(torn), "first " + length + " bytes");
+            assertNull(SnapshotCodec.read(torn), "first " + length + " bytes");
         }
     }
 
@@ -102,7 +102,7 @@
         for (int bit = 0; bit < golden.length * Byte.SIZE; bit++) {
             byte[] damaged = golden.clone();
             damaged[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
-            assertNull(BooksFormat.read(damaged), "bit " + bit);
+            assertNull(SnapshotCodec.read(damaged), "bit " + bit);
         }
     }
 
@@ -111,7 +111,7 @@
         for (int version : new int[] {0, 1, VERSION - 1, VERSION + 1, 0xCA9E0100, -1}) {
             byte[] other = GoldenFiles.bytes(FILE);
             ByteBuffer.wrap(other).putInt(version);
-            assertNull(BooksFormat.read(sealed(other)), "version " + Integer.toHexString(version));
+            assertNull(SnapshotCodec.read(sealed(other)), "version " + Integer.toHexString(version));
         }
     }
 
@@ -120,7 +120,7 @@
         for (int count : new int[] {4, 100, Integer.MAX_VALUE}) {
             byte[] other = GoldenFiles.bytes(FILE);
             ByteBuffer.wrap(other).putInt(CUSTOMERS_AT, count);
-            assertNull(BooksFormat.read(sealed(other)), count + " customers");
+            assertNull(SnapshotCodec.read(sealed(other)), count + " customers");
         }
     }
 
@@ -129,7 +129,7 @@
     void bytesBetweenTheEntriesAndTheChecksumAreIgnored() {
         byte[] golden = GoldenFiles.bytes(FILE);
         byte[] longer = sealed(Arrays.copyOf(golden, golden.length + 5));
-        assertNotNull(BooksFormat.read(longer));
-        assertEquals(SNAPSHOT, BooksFormat.read(longer));
+        assertNotNull(SnapshotCodec.read(longer));
+        assertEquals(SNAPSHOT, SnapshotCodec.read(longer));
     }
 }
--- a/src/test/java/caperrudder/net/DescriptorsTest.java
+++ b/src/test/java/caperrudder/server/runtime/DescriptorBudgetTest.java
@@ -1,4 +1,4 @@
-package caperrudder.net;
+package caperrudder.server.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What is set aside for discovery, peers and the program itself. */
-class DescriptorsTest {
+class DescriptorBudgetTest {
     @ParameterizedTest
     @ValueSource(ints = {128, 192, 256, 512, 1024, 4096})
     void allTogetherFitAndClientsHaveTheirThird(int limit) {
-        Descriptors d = Descriptors.alone(limit);
+        DescriptorBudget d = DescriptorBudget.alone(limit);
         assertTrue(d.most() <= limit, d.toString());
         assertTrue(d.clients() >= limit / 3, d.toString());
         assertTrue(d.hosts() >= limit / 4, d.toString());
@@ -21,9 +21,9 @@
     @ParameterizedTest
     @ValueSource(ints = {256, 512, 1024, 4096})
     void twoProcessesFitTogether(int limit) {
-        Descriptors d = Descriptors.shared(limit);
+        DescriptorBudget d = DescriptorBudget.shared(limit);
         assertTrue(d.clients() + d.hosts() + d.secondAddress() + 16 <= limit / 2, d.toString());
         assertTrue(2 * d.clients() >= limit / 3, d.toString());
-        assertEquals(Descriptors.alone(limit).secondAddress(), d.secondAddress());
+        assertEquals(DescriptorBudget.alone(limit).secondAddress(), d.secondAddress());
     }
 }
--- a/src/test/java/caperrudder/net/FatalTest.java
+++ b/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
@@ -1,10 +1,13 @@
-package caperrudder.net;
+package caperrudder.server.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.PolicyEvents;
 import caperrudder.policy.TrafficPolicy;
+import caperrudder.server.GatewayServer;
+import caperrudder.server.Sockets;
+import caperrudder.server.config.GatewayConfig;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.net.InetAddress;
@@ -18,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A process that can't go on ends at once: once it neither served nor ended. */
-class FatalTest {
+class FatalErrorHandlerTest {
     private static final int HALTED = 1;
 
     @TempDir
@@ -90,10 +93,10 @@
         private Failing() {}
 
         public static void main(String[] args) throws Exception {
-            Fatal.arm();
-            Node.plainLogs();
-            NodeConfig config = NodeConfig.read(System.getenv("NODE_CONFIG"));
-            Node node = new Node(config, act -> {
+            FatalErrorHandler.arm();
+            GatewayServer.plainLogs();
+            GatewayConfig config = GatewayConfig.read(System.getenv("NODE_CONFIG"));
+            GatewayServer node = new GatewayServer(config, act -> {
                 TrafficPolicy brain = new TrafficPolicy(act);
                 return (PolicyEvents) Proxy.newProxyInstance(
                         PolicyEvents.class.getClassLoader(),
