--- a/src/main/java/caperrudder/policy/SnapshotTransfer.java
+++ b/src/main/java/caperrudder/policy/SnapshotTransfer.java
@@ -60,7 +60,7 @@
                 .toList();
     }
 
-    /** What both processes count from a full store is in the other's snapshot alone, so what was spent here goes off. */
+    /** What both processes count from a full bucket is in the other's snapshot alone: what was spent here goes off. */
     static void readCustomer(double now, CustomerQuota c, QuotaSnapshot b, double spent) {
         c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), b.sharedLevel()) - spent);
         c.tokens = Math.min(c.plan.burstUnits(), b.localTokens()) - spent;
