--- a/src/test/java/caperrudder/policy/PeerDecisionsTest.java
+++ b/src/test/java/caperrudder/policy/PeerDecisionsTest.java
@@ -26,6 +26,7 @@
             WorldSettings.CAPPED,
             WorldSettings.OPEN);
     private static final SeededWorld.Traffic TRAFFIC = new SeededWorld.Traffic(300, 70, LIMITED, 0.05, 0.03, 0.4);
+    private static final SeededWorld.Traffic FEW = new SeededWorld.Traffic(60, 400, LIMITED, 0.05, 0.03, 0.4);
     private static final SeededWorld.PeerNetwork BAD = new SeededWorld.PeerNetwork(2, 90, 0.1, 0.1, 0.02);
     private static final SeededWorld.PeerNetwork CUT_OFF = new SeededWorld.PeerNetwork(1, 3, 1, 0, 0);
 
@@ -82,14 +83,15 @@
     @Test
     void whereFewMessagesMayBeSentTheyShareQuotasAsBefore() {
         WorldSettings settings =
-                WorldSettings.withPeers(43, 12).with(new Sharing(false, 0, 0, false, 4, 25, 0.01, 0.01, 0.01));
+                WorldSettings.withPeers(43, 12).with(new Sharing(false, 0, 0, false, 4, 60, 0.01, 0.01, 0.01));
         SeededWorld world = new SeededWorld(settings, HOSTS);
         world.run(50);
         world.play(TRAFFIC, 5000);
+        world.play(FEW, 10_000);
         assertTrue(world.actions("tell") > 300, "messages: " + world.actions("tell"));
         assertTrue(world.actions("send") > 500, "sends: " + world.actions("send"));
         assertEquals(
-                "0ac9a8fadbdc615205d86926d44bee56ddd04bd3f3dc9bc8afe05d525721823c",
+                "8fc1cbf9f23658999f276961112193d5af7b510b00f50e022a6b5e5cb20c0ab8",
                 world.digest("peers-43", world.processes()));
     }
 }
--- a/src/test/java/caperrudder/policy/QuotaDecisionsTest.java
+++ b/src/test/java/caperrudder/policy/QuotaDecisionsTest.java
@@ -18,7 +18,7 @@
 
     private static final SeededWorld.Traffic OF_MANY = new SeededWorld.Traffic(
             1400,
-            1500,
+            200,
             List.of(WorldSettings.SMALL, WorldSettings.OPEN, WorldSettings.BOTH, WorldSettings.CAPPED),
             0,
             0.02,
@@ -70,12 +70,12 @@
     /** What a gateway does not know of a customer it judges by the odds of its plan. */
     @Test
     void customersThatAreMostlyUnknownAreJudgedAsBefore() {
-        SeededWorld world = new SeededWorld(WorldSettings.withMeter(64, 10), 60);
+        SeededWorld world = new SeededWorld(WorldSettings.withMeter(64, 30), 60);
         world.run(50);
         world.play(OF_MANY, 8000);
         assertExercised(world);
         assertEquals(
-                "15f3e636dbb314e142ae8b5515bb62fe2c2cf355bb23c23e3185eb5d9ee2cc8b",
+                "9ebc916a35b30dda26ac59037cc4efd7a5c80e0adb6ecbbf1ffe2f34562a07b4",
                 world.digest("quotas-64", world.processes()));
     }
 }
