--- a/src/main/java/caperrudder/settings/Fields.java
+++ b/src/main/java/caperrudder/settings/Fields.java
@@ -1,138 +1,135 @@
 package caperrudder.settings;
 
+import java.util.HexFormat;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The name=value pairs of one line; names the field at fault when one is missing or malformed. */
+/**
+ * Named text values, read by type. Each method without a default throws a {@link FieldException} where the field is
+ * missing, and each method throws one where the value does not have the type that is asked for. Immutable.
+ */
 public final class Fields {
-    private final Map<String, String> values = new TreeMap<>();
+    private static final String NOTHING = "-";
+    private static final String SEPARATOR = ",";
 
-    /** Fields that were read elsewhere, under the same names. */
-    public Fields(Map<String, String> values) {
-        this.values.putAll(values);
-    }
+    private final Map<String, String> values;
 
-    /** Reads pairs set apart by single spaces; {@code textField}, where not null, runs to the end of the line. */
-    public Fields(String text) {
-        int at = 0;
-        while (at < text.length()) {
-            int space = text.indexOf(' ', at);
-            int end = space < 0 ? text.length() : space;
-            int equals = text.indexOf('=', at);
-            if (equals <= at || equals >= end) {
-                throw new FieldException("not a name=value pair: '" + text.substring(at, end) + "'");
-            }
-            values.put(text.substring(at, equals), text.substring(equals + 1, end));
-            at = end + 1;
-        }
+    /** Takes a copy of the values, by their names. */
+    public Fields(Map<String, String> values) {
+        this.values = new TreeMap<>(values);
     }
 
     private String required(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new FieldException("missing field '" + name + "'");
+            throw FieldException.missing(name);
         }
         return value;
     }
 
-    boolean has(String name) {
+    /** Whether the field is there, be its value empty or not. */
+    public boolean has(String name) {
         return values.containsKey(name);
     }
 
+    /** A text that is not empty. */
     public String text(String name) {
         String value = required(name);
         if (value.isEmpty()) {
-            throw new FieldException("empty field '" + name + "'");
+            throw new FieldException(name, "empty field '" + name + "'");
         }
         return value;
     }
 
-    public String text(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    /** A text, which may be empty. */
+    public String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
+    /** A finite decimal number. */
     public double number(String name) {
         String value = required(name);
-        try {
-            double number = Double.parseDouble(value);
-            if (Double.isFinite(number)) {
-                return number;
-            }
-        } catch (NumberFormatException e) {
-            // reported below with the field's name
+        double number = decimal(name, value, value);
+        if (!Double.isFinite(number)) {
+            throw FieldException.malformed(name, "number", value);
         }
-        throw new FieldException("bad number in '" + name + "': '" + value + "'");
+        return number;
     }
 
-    public double number(String name, double absent) {
-        return has(name) ? number(name) : absent;
+    /** A finite decimal number, or the default where the field is missing. */
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
-    public long whole(String name) {
+    /** A whole number of 64 bits. */
+    public long wholeNumber(String name) {
         String value = required(name);
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new FieldException("bad whole number in '" + name + "': '" + value + "'");
+            throw FieldException.malformed(name, "whole number", value);
         }
     }
 
-    long whole(String name, long absent) {
-        return has(name) ? whole(name) : absent;
-    }
-
-    /** A whole number that fits an int. */
-    public int count(String name) {
-        long value = whole(name);
+    /** A whole number of 32 bits. */
+    public int integer(String name) {
+        long value = wholeNumber(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw new FieldException("number out of range in '" + name + "': '" + value + "'");
+            throw new FieldException(name, "number out of range in '" + name + "': '" + value + "'");
         }
         return (int) value;
     }
 
-    public int count(String name, int absent) {
-        return has(name) ? count(name) : absent;
+    /** A whole number of 32 bits, or the default where the field is missing. */
+    public int integer(String name, int defaultValue) {
+        return has(name) ? integer(name) : defaultValue;
     }
 
-    public boolean flag(String name, boolean absent) {
+    /** True for {@code 1} or {@code true}, false for {@code 0} or {@code false}. */
+    public boolean flag(String name, boolean defaultValue) {
         String value = values.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw new FieldException("bad truth value in '" + name + "': '" + value + "'");
+            default -> throw FieldException.malformed(name, "truth value", value);
         };
     }
 
-    /** Numbers set apart by commas; none where the field is absent or empty. */
-    public double[] row(String name) {
+    /** Decimal numbers set apart by commas; none where the field is missing, empty or a dash. */
+    public double[] numbers(String name) {
         String value = values.getOrDefault(name, "");
-        if (value.isEmpty() || value.equals("-")) {
+        if (value.isEmpty() || value.equals(NOTHING)) {
             return new double[0];
         }
-        String[] parts = value.split(",", -1);
-        double[] row = new double[parts.length];
+        String[] parts = value.split(SEPARATOR, -1);
+        double[] numbers = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            try {
-                row[i] = Double.parseDouble(parts[i]);
-            } catch (NumberFormatException e) {
-                throw new FieldException("bad number in '" + name + "': '" + value + "'");
-            }
+            numbers[i] = decimal(name, parts[i], value);
         }
-        return row;
+        return numbers;
     }
 
+    /** Bytes in hexadecimal digits; none where the value is a dash. */
     public byte[] bytes(String name) {
         String value = text(name);
-        if (value.equals("-")) {
+        if (value.equals(NOTHING)) {
             return new byte[0];
         }
         try {
-            return java.util.HexFormat.of().parseHex(value);
+            return HexFormat.of().parseHex(value);
         } catch (IllegalArgumentException e) {
-            throw new FieldException("bad bytes in '" + name + "': '" + value + "'");
+            throw FieldException.malformed(name, "bytes", value);
+        }
+    }
+
+    private static double decimal(String name, String text, String value) {
+        try {
+            return Double.parseDouble(text);
+        } catch (NumberFormatException e) {
+            throw FieldException.malformed(name, "number", value);
         }
     }
 }
--- a/src/main/java/caperrudder/settings/SettingsReader.java
+++ b/src/main/java/caperrudder/settings/SettingsReader.java
@@ -11,105 +11,141 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Translates the pairs of a start message; absent keys mean that the thing they speak of is not there. */
+/**
+ * Reads the settings of one gateway by the names that WIRE gives. A missing field means that what it speaks of is not
+ * there: a limit of 0, a feature that is off. Times are in milliseconds, rates by the second.
+ */
 public final class SettingsReader {
+    private static final String SUBSCRIBE = "subscribe";
+
     private SettingsReader() {}
 
-    public static Settings read(Fields f) {
-        Limits limits = new Limits(
-                f.count("limits.max_attempts", 1),
-                f.flag("limits.may_duplicate", false),
-                f.flag("limits.cancel", false),
-                f.flag("limits.probes", false),
-                f.flag("limits.peer_messages", false),
-                f.flag("limits.retry_after", false),
-                f.number("limits.max_retry_after_ms", 0),
-                f.number("limits.connect_timeout_ms", 0));
-        Rules rules = new Rules(
-                f.number("rules.answer_slack_ms", 0),
-                f.number("rules.drain_grace_ms", 0),
-                f.number("rules.fall_multiple", 1),
-                f.number("rules.fall_ms", 0),
-                f.number("rules.cold_from", 0),
-                f.number("rules.warm_within_ms", 0),
-                f.number("rules.ask_within_ms", 0));
-        Sharing sharing = new Sharing(
-                f.flag("specifics.counter", false),
-                f.number("specifics.counter_price", 0),
-                f.number("specifics.meter_period_ms", 0),
-                f.flag("specifics.post_paid", false),
-                f.number("specifics.max_units", 1),
-                f.number("specifics.mail_per_s", 0),
-                f.number("costs.peer", 0),
-                f.number("costs.probe", 0),
-                f.number("costs.cross_zone", 0));
-        String names = f.text("telemetry.names", "");
+    /**
+     * Reads all settings.
+     *
+     * @throws FieldException for the first field that is missing and has no default, or that can't be read
+     */
+    public static Settings read(Fields fields) {
+        Limits limits = limits(fields);
+        Rules rules = rules(fields);
+        Sharing sharing = sharing(fields);
         return new Settings(
-                f.whole("rng_seed"),
-                f.count("ordinal"),
-                f.count("balancers"),
-                f.text("az", ""),
-                f.text("discovery", "automatic").equals("subscribe"),
-                classes(f),
-                plans(f),
-                names.isEmpty() ? List.of() : List.of(names.split(",")),
+                fields.wholeNumber("rng_seed"),
+                fields.integer("ordinal"),
+                fields.integer("balancers"),
+                fields.text("az", ""),
+                fields.text("discovery", "automatic").equals(SUBSCRIBE),
+                classes(fields),
+                plans(fields),
+                loadReportFields(fields),
                 limits,
                 rules,
                 sharing);
     }
 
-    private static List<RequestClass> classes(Fields f) {
+    private static Limits limits(Fields fields) {
+        return new Limits(
+                fields.integer("limits.max_attempts", 1),
+                fields.flag("limits.may_duplicate", false),
+                fields.flag("limits.cancel", false),
+                fields.flag("limits.probes", false),
+                fields.flag("limits.peer_messages", false),
+                fields.flag("limits.retry_after", false),
+                fields.number("limits.max_retry_after_ms", 0),
+                fields.number("limits.connect_timeout_ms", 0));
+    }
+
+    private static Rules rules(Fields fields) {
+        return new Rules(
+                fields.number("rules.answer_slack_ms", 0),
+                fields.number("rules.drain_grace_ms", 0),
+                fields.number("rules.fall_multiple", 1),
+                fields.number("rules.fall_ms", 0),
+                fields.number("rules.cold_from", 0),
+                fields.number("rules.warm_within_ms", 0),
+                fields.number("rules.ask_within_ms", 0));
+    }
+
+    private static Sharing sharing(Fields fields) {
+        return new Sharing(
+                fields.flag("specifics.counter", false),
+                fields.number("specifics.counter_price", 0),
+                fields.number("specifics.meter_period_ms", 0),
+                fields.flag("specifics.post_paid", false),
+                fields.number("specifics.max_units", 1),
+                fields.number("specifics.mail_per_s", 0),
+                fields.number("costs.peer", 0),
+                fields.number("costs.probe", 0),
+                fields.number("costs.cross_zone", 0));
+    }
+
+    private static List<String> loadReportFields(Fields fields) {
+        String names = fields.text("telemetry.names", "");
+        return names.isEmpty() ? List.of() : List.of(names.split(","));
+    }
+
+    private static List<RequestClass> classes(Fields fields) {
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < f.count("classes.count"); i++) {
-            String at = "classes." + i + ".";
-            classes.add(new RequestClass(
-                    f.text(at + "name"),
-                    effect(f.text(at + "effect")),
-                    scope(f.text(at + "key_scope", "all")),
-                    f.number(at + "window_ms", 0),
-                    f.number(at + "goal_time_ms"),
-                    f.number(at + "hard_limit_ms"),
-                    f.number(at + "worth", 1),
-                    f.number(at + "late_value", 0),
-                    f.flag(at + "streaming", false)));
+        int count = fields.integer("classes.count");
+        for (int i = 0; i < count; i++) {
+            classes.add(requestClass(fields, "classes." + i + "."));
         }
         return List.copyOf(classes);
     }
 
-    private static List<Plan> plans(Fields f) {
+    private static RequestClass requestClass(Fields fields, String prefix) {
+        return new RequestClass(
+                fields.text(prefix + "name"),
+                idempotency(fields, prefix + "effect"),
+                deduplicationScope(fields, prefix + "key_scope"),
+                fields.number(prefix + "window_ms", 0),
+                fields.number(prefix + "goal_time_ms"),
+                fields.number(prefix + "hard_limit_ms"),
+                fields.number(prefix + "worth", 1),
+                fields.number(prefix + "late_value", 0),
+                fields.flag(prefix + "streaming", false));
+    }
+
+    private static List<Plan> plans(Fields fields) {
         List<Plan> plans = new ArrayList<>();
-        for (int i = 0; i < f.count("plans.count", 0); i++) {
-            String at = "plans." + i + ".";
-            plans.add(new Plan(
-                    f.text(at + "name"),
-                    f.number(at + "units_per_s", 0),
-                    f.number(at + "depth", 0),
-                    f.count(at + "at_once", 0),
-                    f.number(at + "value_factor", 1),
-                    f.number(at + "over_worth", 0),
-                    f.number(at + "excess_cost", 0),
-                    f.number(at + "cap_rate", 0),
-                    f.number(at + "never_over_depth", 0),
-                    f.number(at + "cap_slack", 0)));
+        int count = fields.integer("plans.count", 0);
+        for (int i = 0; i < count; i++) {
+            plans.add(plan(fields, "plans." + i + "."));
         }
         return List.copyOf(plans);
     }
 
-    private static Idempotency effect(String word) {
+    private static Plan plan(Fields fields, String prefix) {
+        return new Plan(
+                fields.text(prefix + "name"),
+                fields.number(prefix + "units_per_s", 0),
+                fields.number(prefix + "depth", 0),
+                fields.integer(prefix + "at_once", 0),
+                fields.number(prefix + "value_factor", 1),
+                fields.number(prefix + "over_worth", 0),
+                fields.number(prefix + "excess_cost", 0),
+                fields.number(prefix + "cap_rate", 0),
+                fields.number(prefix + "never_over_depth", 0),
+                fields.number(prefix + "cap_slack", 0));
+    }
+
+    private static Idempotency idempotency(Fields fields, String name) {
+        String word = fields.text(name);
         return switch (word) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
             case "once" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new FieldException("unknown effect '" + word + "'");
+            default -> throw new FieldException(name, "unknown effect '" + word + "'");
         };
     }
 
-    private static DeduplicationScope scope(String word) {
+    private static DeduplicationScope deduplicationScope(Fields fields, String name) {
+        String word = fields.text(name, "all");
         return switch (word) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new FieldException("unknown key scope '" + word + "'");
+            default -> throw new FieldException(name, "unknown key scope '" + word + "'");
         };
     }
 }
