--- a/src/main/java/caperrudder/simulator/ActionWriter.java
+++ b/src/main/java/caperrudder/simulator/ActionWriter.java
@@ -3,98 +3,102 @@
 import caperrudder.api.PolicyActions;
 import java.util.HexFormat;
 
-/** Writes one instance's actions as lines of the reply; the AT line comes before its first. */
+/** Writes the actions of one instance as lines of the current reply. */
 final class ActionWriter implements PolicyActions {
-    private final StringBuilder out;
+    private static final int THOUSANDTHS = 1000;
+
+    private final BatchReply reply;
     private final long instance;
-    private final long[] lastAt;
 
-    ActionWriter(StringBuilder out, long instance, long[] lastAt) {
-        this.out = out;
+    ActionWriter(BatchReply reply, long instance) {
+        this.reply = reply;
         this.instance = instance;
-        this.lastAt = lastAt;
-    }
-
-    private StringBuilder line(String name) {
-        if (lastAt[0] != instance) {
-            out.append("AT gateway_id=").append(instance).append('\n');
-            lastAt[0] = instance;
-        }
-        return out.append(name);
-    }
-
-    /** Three decimals, the simulator's microsecond, without an exponent. */
-    private static String number(double value) {
-        long thousandths = Math.round(value * 1000);
-        String sign = thousandths < 0 ? "-" : "";
-        long size = Math.abs(thousandths);
-        return sign + size / 1000 + '.' + String.valueOf(1000 + size % 1000).substring(1);
     }
 
     @Override
     public void sendAttempt(String id, String host, double timeoutMs) {
-        line("PLACE op_id=").append(id).append(" host=").append(host);
+        BatchReply line = line(SimulatorProtocol.PLACE)
+                .field(SimulatorProtocol.OPERATION_ID, id)
+                .field(SimulatorProtocol.HOST_ID, host);
         if (timeoutMs > 0) {
-            out.append(" limit_ms=").append(number(timeoutMs));
+            line.field("limit_ms", decimal(timeoutMs));
         }
-        out.append('\n');
+        line.endLine();
     }
 
     @Override
     public void cancelAttempt(String id, int attempt) {
-        line("ABANDON op_id=").append(id).append(" hop=").append(attempt).append('\n');
+        line(SimulatorProtocol.ABANDON)
+                .field(SimulatorProtocol.OPERATION_ID, id)
+                .field(SimulatorProtocol.ATTEMPT, attempt)
+                .endLine();
     }
 
     @Override
     public void reject(String id, double retryAfterMs) {
-        line("OVERLOAD_REPLY op_id=").append(id);
+        BatchReply line = line(SimulatorProtocol.OVERLOAD_REPLY).field(SimulatorProtocol.OPERATION_ID, id);
         if (retryAfterMs > 0) {
-            out.append(" wait_ms=").append(number(retryAfterMs));
+            line.field("wait_ms", decimal(retryAfterMs));
         }
-        out.append('\n');
+        line.endLine();
     }
 
     @Override
     public void fail(String id) {
-        line("ABORT op_id=").append(id).append('\n');
+        line(SimulatorProtocol.ABORT).field(SimulatorProtocol.OPERATION_ID, id).endLine();
     }
 
     @Override
     public void startTimer(double delayMs, String token) {
-        line("TIMER in_ms=")
-                .append(number(delayMs))
-                .append(" cookie=")
-                .append(token)
-                .append('\n');
+        line(SimulatorProtocol.TIMER)
+                .field("in_ms", decimal(delayMs))
+                .field(SimulatorProtocol.COOKIE, token)
+                .endLine();
     }
 
     @Override
     public void startHealthCheck(String host) {
-        line("HEALTH_CHECK host=").append(host).append('\n');
+        line(SimulatorProtocol.HEALTH_CHECK)
+                .field(SimulatorProtocol.HOST_ID, host)
+                .endLine();
     }
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        line("NOTIFY dest=")
-                .append(peer)
-                .append(" contents=")
-                .append(data.length == 0 ? "-" : HexFormat.of().formatHex(data))
-                .append('\n');
+        line(SimulatorProtocol.NOTIFY)
+                .field("dest", peer)
+                .field(SimulatorProtocol.CONTENTS, hexadecimal(data))
+                .endLine();
     }
 
     @Override
     public void addToCounter(String counter, double amount, double lifetimeMs) {
-        line("ADD_AND_GET counter=")
-                .append(counter)
-                .append(" by=")
-                .append(number(amount))
-                .append(" lifetime_ms=")
-                .append(number(lifetimeMs))
-                .append('\n');
+        line(SimulatorProtocol.ADD_AND_GET)
+                .field(SimulatorProtocol.COUNTER, counter)
+                .field("by", decimal(amount))
+                .field("lifetime_ms", decimal(lifetimeMs))
+                .endLine();
     }
 
     @Override
     public void subscribeToHosts() {
-        line("KEEP_INFORMED want=1\n");
+        line(SimulatorProtocol.KEEP_INFORMED).field("want", 1).endLine();
+    }
+
+    private BatchReply line(String name) {
+        return reply.action(instance, name);
+    }
+
+    private static String hexadecimal(byte[] data) {
+        return data.length == 0 ? SimulatorProtocol.NO_BYTES : HexFormat.of().formatHex(data);
+    }
+
+    /** Three decimals, since the simulator counts microseconds, and never an exponent. */
+    private static String decimal(double value) {
+        long thousandths = Math.round(value * THOUSANDTHS);
+        String sign = thousandths < 0 ? "-" : "";
+        long magnitude = Math.abs(thousandths);
+        String fraction = String.valueOf(THOUSANDTHS + magnitude % THOUSANDTHS).substring(1);
+        return sign + magnitude / THOUSANDTHS + '.' + fraction;
     }
 }
--- a/src/main/java/caperrudder/simulator/SimulatorAdapter.java
+++ b/src/main/java/caperrudder/simulator/SimulatorAdapter.java
@@ -1,11 +1,5 @@
 package caperrudder.simulator;
 
-import caperrudder.api.AttemptResult;
-import caperrudder.api.Host;
-import caperrudder.api.HostListKind;
-import caperrudder.api.HostState;
-import caperrudder.api.Outcome;
-import caperrudder.api.Request;
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.settings.FieldException;
 import caperrudder.settings.Fields;
@@ -13,208 +7,102 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.HashMap;
 import java.util.Map;
-import java.util.TreeMap;
 
-/** Hosts many instances of the decision module on the simulator's wire and translates lines both ways. */
+/**
+ * Runs any number of policy instances on the simulator's wire: reads a batch, hands each message to the instance that
+ * it is for and answers with the actions of all. Not thread-safe; one thread reads, decides and writes.
+ */
 final class SimulatorAdapter {
-    private final BufferedReader in;
+    private static final long NO_INSTANCE = Long.MIN_VALUE;
+
+    private final MessageReader reader;
     private final Writer out;
-    private final Map<Long, TrafficPolicy> brains = new TreeMap<>();
-    private final Map<Integer, List<Host>> catalogs = new TreeMap<>();
-    private final long[] lastAt = {Long.MIN_VALUE};
-    private final StringBuilder reply = new StringBuilder();
-    private long lineNumber;
-    private String line = "";
+    private final BatchReply reply = new BatchReply();
+    private final HostCatalog catalog = new HostCatalog();
+    private final EventTranslator events = new EventTranslator(catalog);
+    private final Map<Long, TrafficPolicy> policies = new HashMap<>();
 
     SimulatorAdapter(BufferedReader in, Writer out) {
-        this.in = in;
+        this.reader = new MessageReader(in);
         this.out = out;
     }
 
-    /** Answers batches until the input ends; a {@link FieldException} names the line and what is wrong with it. */
+    /**
+     * Answers batches until the input ends.
+     *
+     * @throws WireFormatException for the first line that can't be read
+     */
     void run() throws IOException {
         try {
-            while (next()) {
-                if (line.isEmpty()) {
-                    continue;
+            while (reader.next()) {
+                if (!reader.isBlank()) {
+                    answerBatch();
                 }
-                batch();
             }
-        } catch (FieldException fault) {
-            throw new FieldException("line " + lineNumber + ": " + fault.getMessage());
+        } catch (FieldException e) {
+            throw new WireFormatException(reader.lineNumber(), e);
         }
     }
 
-    private boolean next() throws IOException {
-        line = in.readLine();
-        lineNumber++;
-        return line != null;
-    }
-
-    private static String nameOf(String line) {
-        int space = line.indexOf(' ');
-        return space < 0 ? line : line.substring(0, space);
-    }
-
-    private Fields fields() {
-        int space = line.indexOf(' ');
-        return new Fields(space < 0 ? "" : line.substring(space + 1));
+    private void answerBatch() throws IOException {
+        if (!reader.name().equals(SimulatorProtocol.BEGIN_BATCH)) {
+            throw reader.error("expected BEGIN_BATCH, found '" + reader.name() + "'");
+        }
+        Fields head = reader.fields();
+        double nowMs = head.number("moment_ms");
+        long turn = head.wholeNumber(SimulatorProtocol.TURN);
+        reply.begin();
+        readMessages(nowMs);
+        out.append(reply.end(turn));
+        out.flush();
     }
 
-    private void batch() throws IOException {
-        if (!nameOf(line).equals("BEGIN_BATCH")) {
-            throw new FieldException("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
-        }
-        Fields head = fields();
-        double now = head.number("moment_ms");
-        long turn = head.whole("turn");
-        lastAt[0] = Long.MIN_VALUE;
-        reply.setLength(0);
-        long target = Long.MIN_VALUE;
+    private void readMessages(double nowMs) throws IOException {
+        long instance = NO_INSTANCE;
         while (true) {
-            if (!next()) {
-                throw new FieldException("input ended inside a batch");
-            }
-            String name = nameOf(line);
-            if (name.equals("COMMIT")) {
-                break;
+            if (!reader.next()) {
+                throw reader.error("input ended inside a batch");
             }
-            if (name.equals("TARGET_INSTANCE")) {
-                target = fields().whole("gateway_id");
-            } else if (name.equals("CATALOG")) {
-                catalog(fields());
-            } else {
-                event(now, target, name);
+            String name = reader.name();
+            switch (name) {
+                case SimulatorProtocol.COMMIT -> {
+                    return;
+                }
+                case SimulatorProtocol.TARGET_INSTANCE -> instance =
+                        reader.fields().wholeNumber(SimulatorProtocol.GATEWAY_ID);
+                case SimulatorProtocol.CATALOG -> catalog.readPage(reader);
+                default -> handle(nowMs, instance, name);
             }
         }
-        reply.append("YIELD turn=").append(turn).append('\n');
-        out.append(reply);
-        out.flush();
     }
 
-    private void event(double now, long target, String name) {
-        if (target == Long.MIN_VALUE) {
-            throw new FieldException("'" + name + "' before any TARGET_INSTANCE");
-        }
-        Fields f = fields();
-        if (name.equals("ATTACH")) {
-            TrafficPolicy brain = new TrafficPolicy(new ActionWriter(reply, target, lastAt));
-            brains.put(target, brain);
-            brain.start(now, SettingsReader.read(f));
-            return;
-        }
-        if (name.equals("KILL")) {
-            brains.remove(target);
-            return;
-        }
-        TrafficPolicy brain = brains.get(target);
-        if (brain == null) {
-            throw new FieldException("'" + name + "' for an instance that was not started: " + target);
+    private void handle(double nowMs, long instance, String name) {
+        if (instance == NO_INSTANCE) {
+            throw reader.error("'" + name + "' before any TARGET_INSTANCE");
         }
+        Fields fields = reader.fields();
         switch (name) {
-            case "MEMBERSHIP" -> membership(now, brain, f);
-            case "DEMAND" -> brain.requestReceived(
-                    now,
-                    new Request(
-                            f.text("op_id"),
-                            f.number("valid_until_ms"),
-                            now,
-                            f.flag("retry", false),
-                            f.text("lane"),
-                            f.whole("holder"),
-                            f.text("contract"),
-                            f.number("size_units"),
-                            f.count("from_no", 0),
-                            f.count("doors", 1)));
-            case "FLOWING" -> brain.responseStarted(now, f.text("op_id"), f.count("hop"));
-            case "COMPLETED" -> brain.attemptEnded(
-                    now,
-                    new AttemptResult(
-                            f.text("op_id"),
-                            f.count("hop"),
-                            f.text("host"),
-                            outcome(f.text("reason")),
-                            f.number("cost_time_ms", 0),
-                            f.flag("terminal", false),
-                            f.count("use_pct", 0),
-                            f.number("cost", 0),
-                            f.row("health_info")));
-            case "VANISHED" -> brain.clientDisconnected(now, f.text("op_id"));
-            case "DUE" -> brain.timerFired(now, f.text("cookie"));
-            case "PROBE_RESULT" -> brain.healthCheckEnded(
-                    now, f.text("host"), outcome(f.text("reason")), f.number("cost_time_ms", 0), f.row("health_info"));
-            case "FROM_PEER" -> brain.peerMessageReceived(now, f.count("neighbour"), f.bytes("contents"));
-            case "COUNTED" -> brain.counterUpdated(
-                    now, f.text("counter"), outcome(f.text("reason")), f.number("reading", 0));
-            default -> throw new FieldException("unknown message '" + name + "'");
+            case SimulatorProtocol.ATTACH -> attach(nowMs, instance, fields);
+            case SimulatorProtocol.KILL -> policies.remove(instance);
+            default -> deliver(nowMs, instance, name, fields);
         }
     }
 
-    private void membership(double now, TrafficPolicy brain, Fields f) {
-        String how = f.text("how");
-        HostListKind kind =
-                switch (how) {
-                    case "D" -> HostListKind.CHANGES;
-                    case "F" -> HostListKind.FULL;
-                    case "C" -> HostListKind.CACHED;
-                    case "X" -> HostListKind.FAILED;
-                    default -> throw new FieldException("unknown list kind '" + how + "'");
-                };
-        List<Host> hosts = List.of();
-        if (kind != HostListKind.FAILED) {
-            int page = f.count("page");
-            hosts = catalogs.get(page);
-            if (hosts == null) {
-                throw new FieldException("no CATALOG with page " + page);
-            }
-        }
-        brain.hostsUpdated(now, kind, hosts);
+    private void attach(double nowMs, long instance, Fields fields) {
+        TrafficPolicy policy = new TrafficPolicy(new ActionWriter(reply, instance));
+        policies.put(instance, policy);
+        policy.start(nowMs, SettingsReader.read(fields));
     }
 
-    private void catalog(Fields f) throws IOException {
-        int page = f.count("page");
-        int members = f.count("members");
-        List<Host> hosts = new ArrayList<>();
-        for (int i = 0; i < members; i++) {
-            if (!next() || !nameOf(line).equals("HOST")) {
-                throw new FieldException("expected " + members + " HOST lines, found " + i);
-            }
-            Fields h = fields();
-            hosts.add(new Host(
-                    h.text("host"),
-                    h.text("failure_domain", ""),
-                    h.text("shape", ""),
-                    h.count("cohort", 0),
-                    state(h.text("mode")),
-                    h.number("rating", 1),
-                    h.number("born_ms", 0)));
+    private void deliver(double nowMs, long instance, String name, Fields fields) {
+        TrafficPolicy policy = policies.get(instance);
+        if (policy == null) {
+            throw reader.error("'" + name + "' for an instance that was not started: " + instance);
+        }
+        if (!events.deliver(policy, nowMs, name, fields)) {
+            throw reader.error("unknown message '" + name + "'");
         }
-        catalogs.put(page, List.copyOf(hosts));
-    }
-
-    private static HostState state(String word) {
-        return switch (word) {
-            case "Running" -> HostState.RUNNING;
-            case "Stopping" -> HostState.DRAINING;
-            case "Deleted" -> HostState.GONE;
-            default -> throw new FieldException("unknown host mode '" + word + "'");
-        };
-    }
-
-    private static Outcome outcome(String word) {
-        return switch (word) {
-            case "Ok" -> Outcome.OK;
-            case "Failed" -> Outcome.ERROR;
-            case "QueueFull" -> Outcome.REJECTED;
-            case "TimedOut" -> Outcome.TIMEOUT;
-            case "ConnectError" -> Outcome.CONNECT_FAILED;
-            case "ResetByPeer" -> Outcome.RESET;
-            case "Canceled" -> Outcome.CANCELLED;
-            case "Ignored" -> Outcome.NOT_SENT;
-            default -> throw new FieldException("unknown reason '" + word + "'");
-        };
     }
 }
--- a/src/test/java/caperrudder/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/caperrudder/simulator/SimulatorAdapterTest.java
@@ -1,8 +1,9 @@
 package caperrudder.simulator;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.settings.FieldException;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.StringReader;
@@ -77,8 +78,9 @@
             {"BEGIN_BATCH moment_ms=1 turn=1\n", "line 2: input ended inside a batch"},
         };
         for (String[] c : cases) {
-            FieldException fault = assertThrows(FieldException.class, () -> run(c[0]), c[1]);
+            WireFormatException fault = assertThrows(WireFormatException.class, () -> run(c[0]), c[1]);
             assertEquals(c[1], fault.getMessage());
+            assertTrue(c[1].startsWith("line " + fault.lineNumber() + ":"), c[1]);
         }
     }
 }
