--- a/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
+++ b/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
@@ -72,19 +72,19 @@
     /** The loop's library drops an error with the task that threw it. */
     @Test
     void whenTheModuleFailsInATaskOfTheEventLoop() throws Exception {
-        start(Failing.class.getName(), "timer", Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
-        assertEnded("caperrudder: can't go on: java.lang.StackOverflowError: timer");
+        start(Failing.class.getName(), "timerFired", Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
+        assertEnded("caperrudder: can't go on: java.lang.StackOverflowError: timerFired");
     }
 
     /** The loop's library turns an error into one closed connection. */
     @Test
     void whenTheModuleFailsAtARequest() throws Exception {
-        start(Failing.class.getName(), "request", Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
+        start(Failing.class.getName(), "requestReceived", Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
         int port =
                 process.getInputStream().read() << 8 | process.getInputStream().read();
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.getOutputStream().write(Sockets.bytes(Sockets.view("v", Sockets.PATIENCE_MS)));
-            assertEnded("caperrudder: can't go on: java.lang.StackOverflowError: request");
+            assertEnded("caperrudder: can't go on: java.lang.StackOverflowError: requestReceived");
         }
     }
 
