--- a/src/main/java/caperrudder/server/ConfigurationReloader.java
+++ b/src/main/java/caperrudder/server/ConfigurationReloader.java
@@ -1,6 +1,7 @@
 package caperrudder.server;
 
 import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.runtime.Log;
 import sun.misc.Signal;
 
 /**
@@ -8,6 +9,7 @@
  * waits for it, and a file that can't be used changes nothing.
  */
 final class ConfigurationReloader {
+    private static final Log LOG = Log.of("config");
     private final String file;
     private GatewayServer node;
     private boolean due; // SIGHUP came before there was a node to tell
@@ -39,7 +41,7 @@
         try {
             node.reload(GatewayConfig.readAgain(file));
         } catch (GatewayConfig.BadConfig e) {
-            GatewayServer.log("caperrudder: the settings stay as they were: " + e.getMessage());
+            LOG.warn("reload failed, configuration unchanged", "reason", e.getMessage());
         }
     }
 }
--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -23,6 +23,8 @@
 import caperrudder.server.runtime.DescriptorBudget;
 import caperrudder.server.runtime.EventLoopLag;
 import caperrudder.server.runtime.FatalErrorHandler;
+import caperrudder.server.runtime.LibraryLog;
+import caperrudder.server.runtime.Log;
 import caperrudder.server.runtime.StreamBufferBudget;
 import caperrudder.server.runtime.Transport;
 import caperrudder.server.upstream.UpstreamAttempt;
@@ -35,8 +37,6 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.util.internal.logging.InternalLoggerFactory;
-import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -47,15 +47,13 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import java.util.logging.Handler;
-import java.util.logging.LogRecord;
-import java.util.logging.Logger;
 
 /**
  * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
  * table of open requests. It carries out what the module decides and tells it what came of it.
  */
 public final class GatewayServer implements PolicyActions, ProcessHandover.Party {
+    private static final Log LOG = Log.of("gateway");
     private static final long EXIT_MS = 3400; // after SIGTERM: the last bytes have had their time
     private static final long FIRST_LIST_MS = 500; // an agent nearby that serves has answered by then
     private static final long POLL_MS = 20; // how often a drain looks whether all is answered
@@ -138,7 +136,7 @@
     /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
     public static void main(String configFile, String adminAddress) {
         FatalErrorHandler.arm();
-        plainLogs();
+        LibraryLog.install();
         ConfigurationReloader reload =
                 ConfigurationReloader.onHangup(configFile); // first of all: SIGHUP ends a process that does not take it
         try {
@@ -150,19 +148,20 @@
             node.openSecondAddress();
             node.loop.execute(node.peers::start);
             succession.begin();
-            log("warm after "
-                    + StartupWarmUp.run(
+            LOG.info(
+                    "warmed up",
+                    "answers",
+                    StartupWarmUp.run(
                             config,
                             StartupWarmUp.ENOUGH,
                             succession.warmUpMs(StartupWarmUp.PATIENCE_MS),
-                            node::isMissed)
-                    + " answers");
+                            node::isMissed));
             if (node.start(succession.left())) {
                 succession.serving();
                 reload.follow(node);
             }
         } catch (GatewayConfig.BadConfig | IOException | InterruptedException e) {
-            System.err.println("caperrudder: " + e.getMessage());
+            LOG.fatal("can't start", "cause", e.getMessage());
             Runtime.getRuntime().halt(1);
         }
     }
@@ -204,7 +203,7 @@
             try {
                 new AdminServer(config.admin(), config.sockets(), this::isReady, this::figures);
             } catch (IOException e) {
-                log(e.getMessage());
+                LOG.warn("no admin address", "cause", e.getMessage());
             }
         }
     }
@@ -254,37 +253,15 @@
             known = null;
         }
         if (left != null) {
-            log("takes over the books of " + left.quotas().size() + " customers");
+            LOG.info(
+                    "restored snapshot of predecessor",
+                    "customers",
+                    left.quotas().size());
             tell((now, m) -> m.restoreSnapshot(now, left));
         }
         renewFigures();
     }
 
-    /**
-     * One plain line for each thing that netty warns of. The system's own handler reads the time zones' file for
-     * its first line, and where that line says that no descriptor is left, this would end the event loop.
-     */
-    public static void plainLogs() {
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        Logger root = Logger.getLogger("");
-        for (Handler h : root.getHandlers()) {
-            root.removeHandler(h);
-        }
-        root.addHandler(new Handler() {
-            @Override
-            public void publish(LogRecord r) {
-                FatalErrorHandler.check(r.getThrown());
-                log(r.getLevel() + " " + r.getMessage() + (r.getThrown() == null ? "" : " " + r.getThrown()));
-            }
-
-            @Override
-            public void flush() {}
-
-            @Override
-            public void close() {}
-        });
-    }
-
     /** Another way to the other gateways than datagrams. */
     void linkBy(Mail other) {
         mail = other;
@@ -295,10 +272,6 @@
         loop.execute(() -> discovery.move(fresh.discovery()));
     }
 
-    public static void log(String line) {
-        System.err.println(line);
-    }
-
     // ---- the turn from one process to the next
 
     @Override
@@ -333,7 +306,7 @@
                 try {
                     next.tell(clock.now(), module);
                 } catch (RuntimeException e) { // the guard of its deadline still answers the request concerned
-                    log("defect: the module threw " + e);
+                    LOG.error("event handler threw", "cause", e);
                     e.printStackTrace();
                 } catch (Error e) {
                     FatalErrorHandler.check(e);
@@ -406,7 +379,7 @@
         }
         endAttempts(r); // a short answer that goes on and on is none: its client sees that it is not whole
         if (!r.closed()) {
-            log("defect: no answer from the module in time, request failed");
+            LOG.error("no decision before the deadline, request failed");
             answer(r, RequestCounters.End.ERRORED, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
         }
     }
@@ -646,7 +619,7 @@
 
     /** Another process serves at this address: takes nobody more, and leaves once nobody is connected. */
     void giveWay() {
-        log("gives way to its successor");
+        LOG.info("yielding to successor process");
         closing = true;
         stopAccepting().addListener(f -> awaitEmpty()); // those who waited are taken by then
         DrainTimings times = DrainTimings.of(config.settings().classes());
--- a/src/main/java/caperrudder/server/PeerTransport.java
+++ b/src/main/java/caperrudder/server/PeerTransport.java
@@ -1,6 +1,7 @@
 package caperrudder.server;
 
 import caperrudder.server.runtime.FatalErrorHandler;
+import caperrudder.server.runtime.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -17,6 +18,7 @@
 
 /** Messages between api gateways: datagrams, which may come late, damaged, from strangers or not at all. */
 final class PeerTransport extends SimpleChannelInboundHandler<DatagramPacket> implements GatewayServer.Mail {
+    private static final Log LOG = Log.of("gossip");
     private static final int MAX_BYTES = 256;
     private static final int EVERYONE = -1;
 
@@ -45,7 +47,7 @@
                 .bind(node.config.peerListen())
                 .addListener(f -> {
                     if (!f.isSuccess()) {
-                        GatewayServer.log("no messages from peers: " + f.cause().getMessage());
+                        LOG.warn("no messages from peers", "cause", f.cause().getMessage());
                     }
                 })
                 .channel();
--- a/src/main/java/caperrudder/server/StartupProfileRun.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -4,6 +4,7 @@
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.handover.ProcessHandover;
 import caperrudder.server.handover.SnapshotCodec;
+import caperrudder.server.runtime.LibraryLog;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -42,7 +43,7 @@
 
     /** Returns when all has been gone through. */
     public static void run() throws IOException, InterruptedException {
-        GatewayServer.plainLogs();
+        LibraryLog.install();
         int port;
         try (java.net.ServerSocket free = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
--- a/src/main/java/caperrudder/server/config/GatewayConfig.java
+++ b/src/main/java/caperrudder/server/config/GatewayConfig.java
@@ -1,10 +1,10 @@
 package caperrudder.server.config;
 
 import caperrudder.api.Settings;
-import caperrudder.server.GatewayServer;
 import caperrudder.server.discovery.EndpointList;
 import caperrudder.server.discovery.EndpointListParser;
 import caperrudder.server.discovery.EndpointListReader;
+import caperrudder.server.runtime.Log;
 import caperrudder.settings.FieldException;
 import caperrudder.settings.Fields;
 import caperrudder.settings.SettingsReader;
@@ -43,6 +43,7 @@
         double connectTimeoutMs,
         double idleMs,
         int maxOpen) {
+    private static final Log LOG = Log.of("config");
     private static final String KNOWN = "known";
     private static final int PORT_MAX = 65_535;
     private static final int HEX = 16;
@@ -109,8 +110,8 @@
                     && !(token.isStructEnd() && at.getParsingContext().getNestingDepth() < depth)) {
                 token = at.nextToken();
             }
-            GatewayServer.log("caperrudder: the list in '" + KNOWN + "' is refused, which is "
-                    + (at.currentLocation().getByteOffset() - from) + " bytes long: " + e.getMessage());
+            long bytes = at.currentLocation().getByteOffset() - from;
+            LOG.warn("endpoint list in \'known\' rejected", "bytes", bytes, "reason", e.getMessage());
             return null;
         }
     }
--- a/src/main/java/caperrudder/server/discovery/DiscoveryClient.java
+++ b/src/main/java/caperrudder/server/discovery/DiscoveryClient.java
@@ -4,6 +4,7 @@
 import caperrudder.server.GatewayServer;
 import caperrudder.server.downstream.RequestParser;
 import caperrudder.server.runtime.FatalErrorHandler;
+import caperrudder.server.runtime.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -43,6 +44,7 @@
  * one that an agent left unanswered while it was cut off may still be answered at its return.
  */
 public final class DiscoveryClient {
+    private static final Log LOG = Log.of("discovery");
     private static final long NONE = -1;
     private static final String PATH = "/v1/servers";
     private static final double MS_PER_SECOND = 1000;
@@ -367,8 +369,10 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             FatalErrorHandler.check(cause);
             if (failures == 0 && isHeard()) { // one line for a spell of failures, however often it is asked
-                GatewayServer.log("discovery: "
-                        + String.valueOf(cause.getMessage()).lines().findFirst().orElse(""));
+                LOG.warn(
+                        "poll failed",
+                        "reason",
+                        String.valueOf(cause.getMessage()).lines().findFirst().orElse(""));
             }
             dropList();
             ctx.close();
--- a/src/main/java/caperrudder/server/discovery/EndpointListParser.java
+++ b/src/main/java/caperrudder/server/discovery/EndpointListParser.java
@@ -2,9 +2,9 @@
 
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
-import caperrudder.server.GatewayServer;
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.config.JsonTreeReader;
+import caperrudder.server.runtime.Log;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -21,6 +21,7 @@
  * hosts share are shared, and refuses what takes more than its limit of memory.
  */
 public final class EndpointListParser {
+    private static final Log LOG = Log.of("discovery");
     static final String LIST = "servers";
     /**
      * What a host takes of the heap, beside the letters of its names, while a whole list takes the place of another
@@ -105,7 +106,7 @@
     /** Null where no array of hosts was told. */
     EndpointList build() {
         if (noted > NOTED_MAX) {
-            GatewayServer.log("discovery: " + (noted - NOTED_MAX) + " more entries that can't be read");
+            LOG.warn("further unreadable entries", "count", noted - NOTED_MAX);
         }
         return entries == null
                 ? null
@@ -266,7 +267,7 @@
 
     private void note(String name, String fault) {
         if (noted++ < NOTED_MAX) {
-            GatewayServer.log("discovery: entry '" + name + "': " + fault);
+            LOG.warn("unreadable entry", "host", name, "fault", fault);
         }
     }
 }
--- a/src/main/java/caperrudder/server/discovery/EndpointListReader.java
+++ b/src/main/java/caperrudder/server/discovery/EndpointListReader.java
@@ -69,8 +69,8 @@
 
     private EndpointList.TooLong refused(String why) {
         String size = announced > 0
-                ? "a list of " + announced + " bytes is refused: "
-                : "a list is refused, of which " + came + " bytes came: ";
+                ? "a list of " + announced + " bytes is rejected: "
+                : "a list is rejected, of which " + came + " bytes came: ";
         return new EndpointList.TooLong(size + why);
     }
 
--- a/src/main/java/caperrudder/server/handover/ProcessHandover.java
+++ b/src/main/java/caperrudder/server/handover/ProcessHandover.java
@@ -1,9 +1,9 @@
 package caperrudder.server.handover;
 
 import caperrudder.api.Snapshot;
-import caperrudder.server.GatewayServer;
 import caperrudder.server.handover.HandoverFiles.Claim;
 import caperrudder.server.runtime.Clock;
+import caperrudder.server.runtime.Log;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.ExecutionException;
@@ -16,6 +16,7 @@
  * the event loop only makes and takes books.
  */
 public final class ProcessHandover {
+    private static final Log LOG = Log.of("handover");
     private static final long BEAT_MS = 250;
     private static final double FRESH_MS = 5000; // older books are of a process that was gone before this one came
     private static final long YES_MS = 5000; // from a successor's start to its word that it serves; 6000 are allowed
@@ -125,7 +126,7 @@
                 leave();
             }
         } catch (RuntimeException e) { // a beat that throws would be the last
-            GatewayServer.log("defect: succession: " + e);
+            LOG.error("unexpected exception", "cause", e);
         }
     }
 
@@ -134,7 +135,7 @@
             files.write(party.books());
             failing = false;
         } catch (IOException | ExecutionException e) {
-            fault("books not left: " + e);
+            fault("snapshot not written", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -145,14 +146,14 @@
             try {
                 files.write(new Claim(me, serving));
             } catch (IOException e) {
-                fault("no claim: " + e);
+                fault("claim not written", e);
             }
         }
     }
 
-    private void fault(String line) {
+    private void fault(String message, Exception cause) {
         if (!failing) {
-            GatewayServer.log("succession: " + line);
+            LOG.warn(message, "cause", cause);
         }
         failing = true;
     }
--- a/src/main/java/caperrudder/server/runtime/DrainableListener.java
+++ b/src/main/java/caperrudder/server/runtime/DrainableListener.java
@@ -1,6 +1,5 @@
 package caperrudder.server.runtime;
 
-import caperrudder.server.GatewayServer;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -9,6 +8,7 @@
 
 /** A listener that takes whoever waits in its queue before it closes, since closing would reset them. */
 final class DrainableListener extends NioServerSocketChannel {
+    private static final Log LOG = Log.of("listener");
 
     /** On the event loop. While its key stands in a selector the JDK would close the socket only at the next select. */
     ChannelFuture emptyAndClose() {
@@ -31,7 +31,7 @@
                 pipeline().fireChannelRead(new NioSocketChannel(this, s));
             }
         } catch (IOException e) {
-            GatewayServer.log("who waited was not taken: " + e.getMessage());
+            LOG.warn("pending connections not accepted", "cause", e.getMessage());
         }
         close();
     }
--- a/src/main/java/caperrudder/server/runtime/FatalErrorHandler.java
+++ b/src/main/java/caperrudder/server/runtime/FatalErrorHandler.java
@@ -1,13 +1,12 @@
 package caperrudder.server.runtime;
 
-import caperrudder.server.GatewayServer;
-
 /**
  * Ends a process that can't go on: at once, with one plain line. The event loop's library takes an error for a fault of
  * one connection or one task, and a main thread that ends leaves the loops running: the process would neither serve
  * nor end. What runs out of heap where nobody here hears of it is ended by the virtual machine, see {@code run}.
  */
 public final class FatalErrorHandler {
+    private static final Log LOG = Log.of("process");
     private static final int EXIT = 1;
     private static final String DIRECT = "direct";
     private static volatile boolean armed; // before, the process is somebody else's
@@ -23,7 +22,7 @@
             if (thread == main) {
                 end(thrown);
             }
-            GatewayServer.log("defect: " + thread.getName() + " ended: " + thrown);
+            LOG.error("thread died", "thread", thread.getName(), "cause", thrown);
         });
     }
 
@@ -45,7 +44,7 @@
 
     private static void end(Throwable thrown) {
         try {
-            GatewayServer.log("caperrudder: can't go on: " + thrown);
+            LOG.fatal("can't continue", "cause", thrown);
         } finally { // also where there is no memory for the line
             Runtime.getRuntime().halt(EXIT);
         }
