--- a/src/main/java/caperrudder/policy/EndpointTable.java
+++ b/src/main/java/caperrudder/policy/EndpointTable.java
@@ -54,7 +54,7 @@
 
     /** From here to {@link #endList} each host counts as unlisted until it is told. */
     void beginList() {
-        all.forEach(s -> s.listed = false);
+        all.forEach(s -> s.setListed(false));
         listed = 0;
     }
 
@@ -66,10 +66,10 @@
             s = new Endpoint(h);
             all.add(key, s);
         }
-        if (s.counted && !DeduplicationScope.CELL.isSharedBy(s.info, h)) close(s); // it changes its zone or cell
-        s.info = h;
-        listed += (h.state() != HostState.GONE ? 1 : 0) - (s.listed ? 1 : 0);
-        s.listed = h.state() != HostState.GONE;
+        if (s.isIndexed() && !DeduplicationScope.CELL.isSharedBy(s.host(), h)) close(s); // it changes its zone or cell
+        s.updateHost(h);
+        listed += (h.state() != HostState.GONE ? 1 : 0) - (s.isListed() ? 1 : 0);
+        s.setListed(h.state() != HostState.GONE);
         note(s);
         return s;
     }
@@ -79,32 +79,32 @@
     }
 
     private void note(Endpoint s) {
-        if (!s.listed) unlisted.add(s);
+        if (!s.isListed()) unlisted.add(s);
         else if (!unlisted.isEmpty()) unlisted.remove(s);
-        if (s.open() == s.counted) return;
-        if (s.counted) {
+        if (s.isUsable() == s.isIndexed()) return;
+        if (s.isIndexed()) {
             close(s);
             return;
         }
-        s.counted = true;
-        int key = key(s.info.id());
+        s.setIndexed(true);
+        int key = key(s.host().id());
         open.add(key, s);
-        places.computeIfAbsent(s.info.zone(), z -> new TreeMap<>())
-                .computeIfAbsent(s.info.cell(), c -> new RankedEndpoints())
+        places.computeIfAbsent(s.host().zone(), z -> new TreeMap<>())
+                .computeIfAbsent(s.host().cell(), c -> new RankedEndpoints())
                 .add(key, s);
-        runChanged |= withinRun(key, s.info.id());
+        runChanged |= withinRun(key, s.host().id());
     }
 
     private void close(Endpoint s) {
-        s.counted = false;
-        int key = key(s.info.id());
-        runChanged |= withinRun(key, s.info.id());
+        s.setIndexed(false);
+        int key = key(s.host().id());
+        runChanged |= withinRun(key, s.host().id());
         open.remove(key, s);
-        Map<Integer, RankedEndpoints> zone = places.get(s.info.zone());
-        RankedEndpoints cell = zone.get(s.info.cell());
+        Map<Integer, RankedEndpoints> zone = places.get(s.host().zone());
+        RankedEndpoints cell = zone.get(s.host().cell());
         cell.remove(key, s);
-        if (cell.size() == 0) zone.remove(s.info.cell());
-        if (zone.isEmpty()) places.remove(s.info.zone());
+        if (cell.size() == 0) zone.remove(s.host().cell());
+        if (zone.isEmpty()) places.remove(s.host().zone());
     }
 
     /** True where a host that stands here in the order would be one of the last run, or stand in its arc. */
@@ -112,21 +112,21 @@
         if (run.isEmpty() || arc != null && arc.holds(key)) return true;
         boolean fromFirst = order(key, id, run.get(0)) >= 0;
         boolean toLast = order(key, id, run.get(run.size() - 1)) <= 0;
-        return order(key(run.get(0).info.id()), run.get(0).info.id(), run.get(run.size() - 1)) <= 0
+        return order(key(run.get(0).host().id()), run.get(0).host().id(), run.get(run.size() - 1)) <= 0
                 ? fromFirst && toLast
                 : fromFirst || toLast;
     }
 
     private int order(int key, String id, Endpoint other) {
-        int byKey = Integer.compare(key, key(other.info.id()));
-        return byKey != 0 ? byKey : id.compareTo(other.info.id());
+        int byKey = Integer.compare(key, key(other.host().id()));
+        return byKey != 0 ? byKey : id.compareTo(other.host().id());
     }
 
     /** Forgets the hosts that are no longer listed and hold nothing. */
     void forgetUnlisted() {
         unlisted.removeIf(s -> {
-            if (!s.out.isEmpty()) return false;
-            all.remove(key(s.info.id()), s);
+            if (!s.isIdle()) return false;
+            all.remove(key(s.host().id()), s);
             unsettled.remove(s);
             return true;
         });
@@ -187,7 +187,7 @@
     static Endpoint lastStarted(List<Endpoint> some) {
         Endpoint last = null;
         for (Endpoint s : some) {
-            if (last == null || s.coldAt > last.coldAt) last = s;
+            if (last == null || s.startedAtMs() > last.startedAtMs()) last = s;
         }
         return last;
     }
--- a/src/main/java/caperrudder/policy/RankedEndpoints.java
+++ b/src/main/java/caperrudder/policy/RankedEndpoints.java
@@ -30,7 +30,7 @@
         }
 
         private boolean before(int i, int key, String id) {
-            return keys[i] < key || keys[i] == key && hosts[i].info.id().compareTo(id) < 0;
+            return keys[i] < key || keys[i] == key && hosts[i].id().compareTo(id) < 0;
         }
 
         private void insert(int i, int key, Endpoint s) {
@@ -74,14 +74,14 @@
     Endpoint find(int key, String id) {
         Block b = blocks[blockOf(key, id)];
         int i = placeIn(b, key, id);
-        return i < b.size && b.keys[i] == key && b.hosts[i].info.id().equals(id) ? b.hosts[i] : null;
+        return i < b.size && b.keys[i] == key && b.hosts[i].id().equals(id) ? b.hosts[i] : null;
     }
 
     /** Takes in a host whose id is not in the list yet. */
     void add(int key, Endpoint s) {
-        int at = blockOf(key, s.info.id());
+        int at = blockOf(key, s.id());
         Block b = blocks[at];
-        b.insert(placeIn(b, key, s.info.id()), key, s);
+        b.insert(placeIn(b, key, s.id()), key, s);
         firstKeys[at] = b.keys[0];
         moveFrom(at + 1, 1);
         size++;
@@ -101,9 +101,9 @@
 
     /** Drops the host of this one's id, if it is in the list. */
     void remove(int key, Endpoint s) {
-        int at = blockOf(key, s.info.id());
+        int at = blockOf(key, s.id());
         Block b = blocks[at];
-        int i = placeIn(b, key, s.info.id());
+        int i = placeIn(b, key, s.id());
         if (i == b.size || b.hosts[i] != s) return;
         b.delete(i);
         moveFrom(at + 1, -1);
@@ -156,8 +156,7 @@
         while (low < high) {
             int middle = (low + high + 1) >>> 1;
             boolean before = firstKeys[middle] < key
-                    || firstKeys[middle] == key
-                            && blocks[middle].hosts[0].info.id().compareTo(id) <= 0;
+                    || firstKeys[middle] == key && blocks[middle].hosts[0].id().compareTo(id) <= 0;
             if (before) low = middle;
             else high = middle - 1;
             touched++;
--- a/src/main/java/caperrudder/policy/SnapshotTransfer.java
+++ b/src/main/java/caperrudder/policy/SnapshotTransfer.java
@@ -27,7 +27,7 @@
     /** {@code refill} brings a customer's stores up to now. */
     Snapshot write(double now, double attemptsPerHost, Consumer<CustomerQuota> refill) {
         List<HealthSnapshot> health = new ArrayList<>();
-        hosts.unsettled().stream().filter(s -> s.listed).forEach(s -> s.writeHealth(health));
+        hosts.unsettled().stream().filter(s -> s.isListed()).forEach(s -> s.takeSnapshot(health));
         return new Snapshot(now, attemptsPerHost, writeCustomers(refill), health, writeClasses());
     }
 
@@ -79,10 +79,7 @@
         for (HealthSnapshot b : health) {
             Endpoint s = hosts.find(b.host());
             if (s == null || !b.requestClass().isEmpty() && !classes.containsKey(b.requestClass())) continue;
-            OutlierScore h = s.of(b.requestClass());
-            h.slow = Math.max(0, Math.min(OutlierScore.SLOWEST, b.latencyPenalty()));
-            h.at = Math.min(now, b.updatedAtMs());
-            h.failures = b.failuresSinceSuccess();
+            s.scores().of(b.requestClass()).restore(b, now);
             hosts.unsettled().add(s);
         }
     }
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -122,7 +122,7 @@
     private final Map<Long, CustomerQuota> customers = new LinkedHashMap<>();
     private final Map<String, PendingRequest> asks = new LinkedHashMap<>();
     private final LinkedHashSet<PendingRequest> questions = new LinkedHashSet<>();
-    private final LinkedHashSet<Endpoint> watched = new LinkedHashSet<>();
+    private final Map<Endpoint, LinkedHashSet<Attempt>> atWork = new LinkedHashMap<>();
     EndpointTable table;
     List<Endpoint> homes = List.of();
     private Endpoint coldest; // of the homes: the one that started last
@@ -179,12 +179,10 @@
         if (kind != HostListKind.CHANGES) table.beginList();
         for (Host h : hosts) {
             Endpoint s = table.put(h);
-            if (h.startedMs() > 0 && h.startedMs() > s.coldAt) {
-                s.coldAt = h.startedMs();
-                s.turns = random.nextDouble(); // or all gateways' first ones would come together
-                if (s.judged() != null) s.judged().slow = 1;
+            if (h.startedMs() > 0 && h.startedMs() > s.startedAtMs()) {
+                s.restarted(h.startedMs(), random.nextDouble()); // or all gateways' first ones would come together
                 if (rampOf(s, now) < 1) table.unsettled().add(s);
-                if (coldest == null || s.coldAt > coldest.coldAt) coldest = s; // till counted
+                if (coldest == null || s.startedAtMs() > coldest.startedAtMs()) coldest = s; // till counted
             }
         }
         if (kind != HostListKind.CHANGES) table.endList();
@@ -332,7 +330,8 @@
     @Override
     public ClusterHealth clusterHealth(double now) {
         long bad = table.unsettled().stream()
-                .filter(s -> s.open() && classes.values().stream().anyMatch(c -> s.slowness(now, c) >= BAD_ANSWER))
+                .filter(s -> s.isUsable()
+                        && classes.values().stream().anyMatch(c -> s.latencyPenalty(now, c.spec.name()) >= BAD_ANSWER))
                 .count();
         return new ClusterHealth(table.listed(), table.drained() + (int) bad);
     }
@@ -812,7 +811,7 @@
         ask.attempts.add(a);
         table.unsettled().add(s);
         if (!ask.arriving) place(now, a);
-        act.sendAttempt(ask.request.id(), s.info.id(), 0);
+        act.sendAttempt(ask.request.id(), s.host().id(), 0);
     }
 
     /** An attempt begins to work; one whose request is still arriving does not yet. */
@@ -821,9 +820,8 @@
         a.placed = true;
         a.sentAt = now;
         a.stalled = stalled;
-        a.server.hold(a);
-        a.server.outWork += a.work;
-        watched.add(a.server);
+        a.server.startAttempt(a.work);
+        atWork.computeIfAbsent(a.server, s -> new LinkedHashSet<>(4)).add(a);
         inFlight++;
     }
 
@@ -831,9 +829,9 @@
         if (!a.placed) return;
         a.placed = false;
         inFlight--;
-        a.server.letGo(a);
-        a.server.outWork = a.server.out.isEmpty() ? 0 : a.server.outWork - a.work;
-        if (a.server.out.isEmpty()) watched.remove(a.server);
+        a.server.finishAttempt(a.work);
+        atWork.get(a.server).remove(a);
+        if (a.server.isIdle()) atWork.remove(a.server);
     }
 
     /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
@@ -984,17 +982,17 @@
 
     private double rampOf(Endpoint s, double now) {
         double from = set.rules().coldStartCapacity();
-        double done = (now - s.coldAt) / Math.max(1, set.rules().slowStartMs());
+        double done = (now - s.startedAtMs()) / Math.max(1, set.rules().slowStartMs());
         return done >= 1 ? 1 : Math.max(0.01, from + (1 - from) * Math.max(0, done));
     }
 
     /** Counts what the hosts in use can do, so that each event needs only look-ups. */
     private void survey(double now) {
         surveyedAt = now;
-        table.unsettled().removeIf(s -> s.untried() && rampOf(s, now) >= 1);
+        table.unsettled().removeIf(s -> s.isUntried() && rampOf(s, now) >= 1);
         lost = table.unsettled().stream()
-                .filter(Endpoint::open)
-                .mapToDouble(s -> s.slowness(now) < BAD_ANSWER ? 1 - rampOf(s, now) : 1)
+                .filter(Endpoint::isUsable)
+                .mapToDouble(s -> s.latencyPenalty(now) < BAD_ANSWER ? 1 - rampOf(s, now) : 1)
                 .sum();
         keepHomes(now);
     }
@@ -1029,17 +1027,17 @@
         boolean warm = coldest == null || rampOf(coldest, now) >= 1;
         if (warm) random.nextDouble(); // the draw that no cold host would win
         Endpoint cold = warm ? null : coldInTurn(now, ask);
-        if (cold != null && (best == null || cold.out.isEmpty())) return cold;
+        if (cold != null && (best == null || cold.isIdle())) return cold;
         if (best != null) return best;
         best = best(now, ask, others(ask), true);
-        if (best != null) best.turns = Math.max(-1, best.turns - 1); // that was its turn
+        if (best != null) best.setSlowStartCredit(Math.max(-1, best.slowStartCredit() - 1)); // that was its turn
         return best;
     }
 
     /** All hosts; of very many some from a drawn one on, among those that an unsure attempt's key allows. */
     private List<Endpoint> others(PendingRequest ask) {
         boolean keyed = table.openCount() > COMPARED && ask.cls.spec.idempotency() == Idempotency.IDEMPOTENCY_KEY;
-        Host ran = keyed && ask.ran() != null ? ask.ran().server.info : null;
+        Host ran = keyed && ask.ran() != null ? ask.ran().server.host() : null;
         Collection<RankedEndpoints> legal =
                 table.open(ran, ran == null ? DeduplicationScope.ALL : ask.cls.spec.deduplicationScope());
         int count = legal.stream().mapToInt(RankedEndpoints::size).sum();
@@ -1060,10 +1058,9 @@
             left -= able(now, s, ask.cls);
             if (left > 0) continue;
             if (rampOf(s, now) >= 1 || !legal(now, ask, ask.ran(), s)) return null;
-            s.turns += Math.min(1, coldShare(s, now));
-            if (s.turns < 1) return null;
-            s.turns -= 1;
-            return s;
+            double credit = s.slowStartCredit() + Math.min(1, coldShare(s, now));
+            s.setSlowStartCredit(credit < 1 ? credit : credit - 1);
+            return credit < 1 ? null : s;
         }
         return null;
     }
@@ -1074,7 +1071,7 @@
     }
 
     private double able(double now, Endpoint s, TrafficClass c) {
-        return s.open() ? lean(now, s) * rampOf(s, now) / Math.max(1, s.slowness(now, c)) : 0;
+        return s.isUsable() ? lean(now, s) * rampOf(s, now) / Math.max(1, s.latencyPenalty(now, c.spec.name())) : 0;
     }
 
     /**
@@ -1082,16 +1079,15 @@
      * so they only shift the chance of a turn: if all took the host that reports least, they would fill it.
      */
     private double lean(double now, Endpoint s) {
-        if (s.reportedAt == State.NEVER) return 1;
-        return Math.max(1 / LEAN, Math.min(LEAN, (1 + crowd) / (1 + s.reported / rampOf(s, now))));
+        if (!s.hasReportedLoad()) return 1;
+        return Math.max(1 / LEAN, Math.min(LEAN, (1 + crowd) / (1 + s.reportedLoad() / rampOf(s, now))));
     }
 
     private void noteLoad(double now, Endpoint s, double[] report) {
         int place = set.loadReportFields().indexOf(IN_WORK);
         if (place < 0 || place >= report.length) return;
-        s.reported = report[place];
-        s.reportedAt = now;
-        crowd += CROWD_GAIN * (s.reported / rampOf(s, now) - crowd);
+        s.setReportedLoad(report[place]);
+        crowd += CROWD_GAIN * (s.reportedLoad() / rampOf(s, now) - crowd);
     }
 
     private boolean ownCounts() {
@@ -1102,7 +1098,7 @@
         LinkedHashSet<Endpoint> drawn = new LinkedHashSet<>();
         for (int i = 0; i < draws * SCAN && drawn.size() < draws; i++) {
             Endpoint s = homes.get(random.nextInt(homes.size()));
-            if (random.nextDouble() * s.slowness(now, c) <= 1) drawn.add(s);
+            if (random.nextDouble() * s.latencyPenalty(now, c.spec.name()) <= 1) drawn.add(s);
         }
         return drawn;
     }
@@ -1111,7 +1107,7 @@
         Endpoint best = null;
         double bestScore = Double.MAX_VALUE;
         for (Endpoint s : among) {
-            if (!s.open() || !legal(now, ask, ask.ran(), s)) continue;
+            if (!s.isUsable() || !legal(now, ask, ask.ran(), s)) continue;
             // A cold host has its turns beside; where there is no other, it takes part seldom (rule 4).
             boolean cold = rampOf(s, now) < 1;
             if (cold && (!colds || random.nextDouble() * among.size() > coldShare(s, now))) continue;
@@ -1123,14 +1119,14 @@
     }
 
     private double score(double now, PendingRequest ask, Endpoint s) {
-        double doubt = s.slowness(now, ask.cls);
+        double doubt = s.latencyPenalty(now, ask.cls.spec.name());
         if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
         for (Attempt a : ask.attempts) {
             if (a.server == s) doubt *= BAD_ANSWER;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !ownCounts() || s.info.zone().equals(set.zone()) ? 0 : ZONE_COST * ask.work();
-        return (ask.work() + s.outWork) * doubt / rampOf(s, now) + zone;
+        double zone = !ownCounts() || s.host().zone().equals(set.zone()) ? 0 : ZONE_COST * ask.work();
+        return (ask.work() + s.outstandingWorkMs()) * doubt / rampOf(s, now) + zone;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
@@ -1138,7 +1134,7 @@
         return repeatable(now, ask, ran)
                 && (ran == null
                         || ask.cls.spec.idempotency() != Idempotency.IDEMPOTENCY_KEY
-                        || ask.cls.spec.deduplicationScope().isSharedBy(s.info, ran.server.info));
+                        || ask.cls.spec.deduplicationScope().isSharedBy(s.host(), ran.server.host()));
     }
 
     private boolean repeatable(double now, PendingRequest ask, Attempt ran) {
@@ -1166,11 +1162,12 @@
         TrafficClass c = ask.cls;
         switch (r.outcome()) {
             case OK -> {
-                s.health().note(r.latencyMs() / Math.max(1, a.work), SLOW_GAIN, now);
-                s.of(c).note(1, SLOW_GAIN, now);
-                s.health().failures = 0;
+                s.scores().overall().record(r.latencyMs() / Math.max(1, a.work), SLOW_GAIN, now);
+                OutlierScore ofClass = s.scores().of(c.spec.name());
+                ofClass.record(1, SLOW_GAIN, now);
+                s.scores().overall().clearFailures();
                 // A host that fails most requests at once serves some: one good answer clears it of nothing.
-                if (s.of(c).slowness(now) < CLEARED) s.of(c).failures = 0;
+                if (ofClass.latencyPenalty(now) < CLEARED) ofClass.clearFailures();
                 double perUnit = r.latencyMs() / Math.max(0.1, ask.request.units());
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
@@ -1182,16 +1179,16 @@
                 }
             }
                 // No connection, and again none: down or full, the host takes nothing from us now.
-            case CONNECT_FAILED -> s.health().noteFailure(1, now);
-            case REJECTED -> s.health().note(BAD_ANSWER, FAILED_GAIN, now);
+            case CONNECT_FAILED -> s.scores().overall().recordFailure(1, now);
+            case REJECTED -> s.scores().overall().record(BAD_ANSWER, FAILED_GAIN, now);
             case ERROR, RESET, TIMEOUT -> {
-                s.of(c).noteFailure(FAILED_GAIN, now);
+                s.scores().of(c.spec.name()).recordFailure(FAILED_GAIN, now);
                 // Among many gateways each meets a host too seldom to convict it class by class.
                 boolean several = classes.values().stream()
-                                .filter(k -> s.of(k).failures > 0)
+                                .filter(k -> s.scores().of(k.spec.name()).hasFailures())
                                 .count()
                         > 1;
-                if (several) s.health().note(OutlierScore.SLOWEST, FAILED_GAIN, now);
+                if (several) s.scores().overall().record(OutlierScore.MAX_PENALTY, FAILED_GAIN, now);
             }
             default -> {}
         }
@@ -1207,13 +1204,13 @@
     }
 
     private void watchHealth(double now) {
-        for (Endpoint s : new ArrayList<>(watched)) {
-            for (Attempt a : new ArrayList<>(s.out)) {
-                double expected = a.work * Math.max(1, s.slowness(now));
+        for (Endpoint s : new ArrayList<>(atWork.keySet())) {
+            for (Attempt a : new ArrayList<>(atWork.getOrDefault(s, new LinkedHashSet<>()))) {
+                double expected = a.work * Math.max(1, s.latencyPenalty(now));
                 double waited = now - a.sentAt - (stalled - a.stalled);
                 if (a.overdue || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
                 a.overdue = true;
-                s.of(a.ask.cls).noteFailure(FAILED_GAIN, now);
+                s.scores().of(a.ask.cls.spec.name()).recordFailure(FAILED_GAIN, now);
                 boolean useful = !a.ask.done && !a.ask.streaming && now + a.work < giveUpAt(a.ask);
                 boolean safe = a.ask.cls.spec.idempotency() != Idempotency.NOT_IDEMPOTENT
                         && set.limits().cancellation();
--- a/src/test/java/caperrudder/policy/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/EndpointTableTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import caperrudder.api.DeduplicationScope;
+import caperrudder.api.HealthSnapshot;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
@@ -44,7 +45,7 @@
     }
 
     private static List<String> ids(Collection<Endpoint> hosts) {
-        return hosts.stream().map(s -> s.info.id()).toList();
+        return hosts.stream().map(s -> s.host().id()).toList();
     }
 
     private static List<String> open(FakeGateway g) {
@@ -84,8 +85,7 @@
                     .toList();
             usable = open.stream().map(k -> k.info().id()).toList();
             capacity = open.stream()
-                    .mapToDouble(k ->
-                            slowness(now, g.brain.table.find(k.info().id()).judged()) < 4 ? ramp(now, k.coldAt()) : 0)
+                    .mapToDouble(k -> penalty(now, g.brain.table.find(k.info().id())) < 4 ? ramp(now, k.coldAt()) : 0)
                     .sum();
             homes.clear();
             int kept = Math.max(8, 6 * usable.size() / gateways);
@@ -94,8 +94,14 @@
             }
         }
 
-        private static double slowness(double now, OutlierScore h) {
-            return h == null ? 1 : 1 + (h.slow - 1) * Math.exp(-(now - h.at) / 6000);
+        private static double penalty(double now, Endpoint endpoint) {
+            List<HealthSnapshot> scores = new ArrayList<>();
+            endpoint.takeSnapshot(scores);
+            for (HealthSnapshot s : scores) {
+                if (!s.requestClass().isEmpty()) continue;
+                return 1 + (s.latencyPenalty() - 1) * Math.exp(-(now - s.updatedAtMs()) / 6000);
+            }
+            return 1;
         }
 
         private static double ramp(double now, double coldAt) {
@@ -165,7 +171,7 @@
 
     private static Map<String, Integer> keepers(List<FakeGateway> fleet) {
         Map<String, Integer> keepers = new HashMap<>();
-        fleet.forEach(g -> g.brain.homes.forEach(s -> keepers.merge(s.info.id(), 1, Integer::sum)));
+        fleet.forEach(g -> g.brain.homes.forEach(s -> keepers.merge(s.host().id(), 1, Integer::sum)));
         return keepers;
     }
 
@@ -305,7 +311,7 @@
                 g.now,
                 HostListKind.CHANGES,
                 g.brain.homes.stream()
-                        .map(s -> new Host(s.info.id(), "z1", "std", 0, HostState.RUNNING, 1, g.now))
+                        .map(s -> new Host(s.host().id(), "z1", "std", 0, HostState.RUNNING, 1, g.now))
                         .toList());
         List<Double> touched = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/caperrudder/policy/RankedEndpointsTest.java
+++ b/src/test/java/caperrudder/policy/RankedEndpointsTest.java
@@ -18,21 +18,21 @@
     }
 
     private static List<String> ids(List<Endpoint> hosts) {
-        return hosts.stream().map(s -> s.info.id()).toList();
+        return hosts.stream().map(s -> s.id()).toList();
     }
 
     @Test
     void itFindsHostsByIdAndByRankAsASortedSetDoes() {
         Random random = new Random(3);
         Comparator<Endpoint> order =
-                Comparator.<Endpoint>comparingInt(s -> key(s.info.id())).thenComparing(s -> s.info.id());
+                Comparator.<Endpoint>comparingInt(s -> key(s.id())).thenComparing(s -> s.id());
         TreeSet<Endpoint> expected = new TreeSet<>(order);
         RankedEndpoints ranked = new RankedEndpoints();
         for (int step = 0; step < 40_000; step++) {
             boolean grows = step / 10_000 % 2 == 0; // up to thousands, down to a few, and the same again
             Endpoint s = new Endpoint(FakeGateway.host("h" + random.nextInt(6000), "a"));
-            int key = key(s.info.id());
-            Endpoint known = ranked.find(key, s.info.id());
+            int key = key(s.id());
+            Endpoint known = ranked.find(key, s.id());
             assertEquals(expected.contains(s), known != null);
             if (known == null && (grows || random.nextInt(4) == 0)) {
                 ranked.add(key, s);
@@ -58,7 +58,7 @@
             assertEquals(ids(expected.subList(from, Math.min(expected.size(), from + count))), ids(some));
             assertSame(some.isEmpty() ? ranked.at(from) : some.get(0), ranked.at(from));
             int key = random.nextInt(KEYS) - KEYS / 2;
-            assertEquals(expected.stream().filter(s -> key(s.info.id()) < key).count(), ranked.rank(key));
+            assertEquals(expected.stream().filter(s -> key(s.id()) < key).count(), ranked.rank(key));
         }
     }
 
