--- a/src/main/java/caperrudder/policy/GossipOutbox.java
+++ b/src/main/java/caperrudder/policy/GossipOutbox.java
@@ -20,7 +20,7 @@
 
     /** Writes the entry of one customer in a message. */
     interface Entries {
-        QuotaMessage.Entry of(PeerState peer, CustomerQuota customer, boolean answers);
+        QuotaEntry of(PeerState peer, CustomerQuota customer, boolean answers);
     }
 
     private final int gateways;
@@ -67,8 +67,8 @@
     }
 
     private void send(double now, PeerState peer, Entries entries) {
-        List<QuotaMessage.Entry> written = new ArrayList<>();
-        int room = (MESSAGE_BYTES - QuotaMessage.HEAD_BYTES) / QuotaMessage.ENTRY_BYTES;
+        List<QuotaEntry> written = new ArrayList<>();
+        int room = (MESSAGE_BYTES - QuotaMessageCodec.HEADER_BYTES) / QuotaMessageCodec.MAX_ENTRY_BYTES;
         peer.serial++;
         for (LinkedHashSet<CustomerQuota> due : List.of(peer.answers, peer.tells)) {
             for (Iterator<CustomerQuota> it = due.iterator(); it.hasNext() && written.size() < room; it.remove()) {
@@ -76,21 +76,22 @@
             }
         }
         peer.toldAt = now;
-        actions.sendToPeer(
-                peer.number, new QuotaMessage(epoch, peer.epoch, peer.serial, peer.heardSerial, written).bytes());
+        QuotaMessage message = new QuotaMessage(epoch, peer.epoch, peer.serial, peer.heardSerial, written);
+        actions.sendToPeer(peer.number, QuotaMessageCodec.encode(message));
     }
 
     /** Notes a message of a peer; false for one overtaken on the way, told twice or of another life. */
     boolean takesIn(double now, PeerState peer, QuotaMessage message) {
-        boolean sameLife = peer.met && message.epoch() == peer.epoch;
+        boolean sameLife = peer.met && message.senderIncarnation() == peer.epoch;
         // Lives are compared by difference: their field runs over every 50 days of Unix time.
-        boolean late =
-                sameLife ? !QuotaMessage.after(message.serial(), peer.heardSerial) : message.epoch() - peer.epoch < 0;
+        boolean late = sameLife
+                ? !SerialArithmetic.isAfter(message.serial(), peer.heardSerial)
+                : message.senderIncarnation() - peer.epoch < 0;
         // A life that has yet to begin would make all that its sender says from now on seem late.
-        boolean unborn = message.epoch() - (int) (long) now > CLOCKS_APART_MS;
+        boolean unborn = message.senderIncarnation() - (int) (long) now > CLOCKS_APART_MS;
         if (peer.met && late || unborn) return false;
         peer.met = true;
-        peer.epoch = message.epoch();
+        peer.epoch = message.senderIncarnation();
         peer.heardSerial = message.serial();
         peer.silentTill = State.NEVER;
         return true;
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -23,6 +23,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalDouble;
 import java.util.Random;
 import java.util.stream.IntStream;
 
@@ -644,111 +646,134 @@
         });
     }
 
-    private QuotaMessage.Entry tellOf(double now, CustomerQuota c, PeerState keeper) {
+    private QuotaEntry tellOf(double now, CustomerQuota c, PeerState keeper) {
         for (PendingRequest a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
         double want = c.pendingUnits();
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.silentTill
                 || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
         boolean view = keeper(now, c, 0) == set.gatewayIndex() || now - c.newsAt < FRESH_MS;
-        return QuotaMessage.Entry.asking(c, asked, view, want);
-    }
-
-    private QuotaMessage.Entry answer(double now, CustomerQuota c, PeerState to) {
+        return new ReplicaReport(
+                c.id,
+                c.planNumber,
+                c.first,
+                c.spread,
+                c.used,
+                want,
+                c.demand,
+                c.open,
+                view ? OptionalDouble.of(c.fullness()) : OptionalDouble.empty(),
+                asked,
+                c.plan.ceilingUnitsPerSecond() > 0 && c.ceiling < want);
+    }
+
+    private QuotaEntry answer(double now, CustomerQuota c, PeerState to) {
         ReplicaState m = c.member(to);
         double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS);
-        return QuotaMessage.Entry.answering(c, m, unsure(now, c), Math.max(0, c.demand + c.others - theirs));
+        return new OwnerReply(
+                c.id,
+                c.planNumber,
+                m.booked,
+                m.granted,
+                Math.max(0, c.demand + c.others - theirs),
+                c.open + c.othersOpen - m.open,
+                c.fullness(),
+                unsure(now, c),
+                c.plan.ceilingUnitsPerSecond() > 0 ? OptionalDouble.of(m.given) : OptionalDouble.empty());
     }
 
     @Override
     public void peerMessageReceived(double now, int from, byte[] data) {
-        QuotaMessage tell =
-                from < 0 || from >= peers.length || from == set.gatewayIndex() ? null : QuotaMessage.read(data);
-        if (tell == null) return; // unknown sender, or damaged
+        if (from < 0 || from >= peers.length || from == set.gatewayIndex()) return; // unknown sender
+        Optional<QuotaMessage> decoded = QuotaMessageCodec.decode(data);
+        if (decoded.isEmpty()) return; // damaged
+        QuotaMessage tell = decoded.get();
         PeerState peer = peers[from];
         if (!outbox.takesIn(now, peer, tell)) return;
-        boolean toThisLife = tell.yourEpoch() == outbox.epoch();
-        for (QuotaMessage.Entry e : tell.entries()) {
-            if (e.plan() >= set.plans().size()) continue;
-            if (e.answer()) hearAnswer(now, peer, e, tell.yourSerial(), toThisLife);
-            else hearTell(now, peer, e);
+        boolean toThisLife = tell.receiverIncarnation() == outbox.epoch();
+        for (QuotaEntry e : tell.entries()) {
+            if (e.planNumber() >= set.plans().size()) continue;
+            if (e instanceof OwnerReply reply) hearAnswer(now, peer, reply, tell.acknowledgedSerial(), toThisLife);
+            else if (e instanceof ReplicaReport report) hearTell(now, peer, report);
         }
         post(now);
     }
 
     /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void hearTell(double now, PeerState peer, QuotaMessage.Entry e) {
-        int place = Math.floorMod(peer.number - e.first(), peers.length);
-        if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
-        CustomerQuota c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
+    private void hearTell(double now, PeerState peer, ReplicaReport e) {
+        int place = Math.floorMod(peer.number - e.firstReplica(), peers.length);
+        if (e.replicaCount() > peers.length || place >= e.replicaCount()) return; // a set that cannot be
+        CustomerQuota c = customer(now, e.customer(), e.planNumber(), e.firstReplica(), e.replicaCount());
         if (c == null) return;
         if (IntStream.of(c.keepers).noneMatch(k -> k == set.gatewayIndex())) return;
         boolean unsure = unsure(now, c);
-        boolean adopts = e.view() && (unsure || keeper(now, c, 0) == peer.number);
+        boolean adopts = e.fullness().isPresent() && (unsure || keeper(now, c, 0) == peer.number);
         if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
-            c.level = Math.min(unsure ? c.level : c.plan.burstUnits(), e.fullness() * c.plan.burstUnits());
+            c.level = Math.min(
+                    unsure ? c.level : c.plan.burstUnits(), e.fullness().getAsDouble() * c.plan.burstUnits());
             c.informed = true;
         }
         ReplicaState m = c.member(peer);
-        c.others = Math.max(0, c.others + e.demand() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS));
-        m.demand = e.demand();
+        c.others = Math.max(0, c.others + e.demandPerSecond() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS));
+        m.demand = e.demandPerSecond();
         m.demandAt = now;
         // Given back is at most what was granted or open. A count that falls further began anew, since its
         // sender had forgotten the customer, and would fill the store.
         double back = m.granted + m.open * set.sharing().maxUnits();
-        c.othersOpen += e.open() - m.open;
-        m.open = e.open();
-        double spent = m.known && !adopts ? Math.max(-back, QuotaMessage.ahead(e.used(), m.booked)) : 0;
+        c.othersOpen += e.openRequests() - m.open;
+        m.open = e.openRequests();
+        double spent = m.known && !adopts ? Math.max(-back, SerialArithmetic.unitsAhead(e.usedUnits(), m.booked)) : 0;
         m.known = true;
         c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), c.level - spent));
-        boolean gives = e.ceiling() && c.plan.ceilingUnitsPerSecond() > 0;
-        boolean grants = e.want() > 0
-                && (c.plan.unitsPerSecond() <= 0 || c.level >= e.want())
-                && (!gives || c.ceiling >= e.want());
-        m.granted = grants ? e.want() : 0;
-        m.booked = e.used() + m.granted;
+        boolean gives = e.wantsCeilingUnits() && c.plan.ceilingUnitsPerSecond() > 0;
+        boolean grants = e.wantedUnits() > 0
+                && (c.plan.unitsPerSecond() <= 0 || c.level >= e.wantedUnits())
+                && (!gives || c.ceiling >= e.wantedUnits());
+        m.granted = grants ? e.wantedUnits() : 0;
+        m.booked = e.usedUnits() + m.granted;
         c.level -= m.granted;
         if (keeper(now, c, 0) == set.gatewayIndex() && spent + m.granted != 0) changed(now, c);
-        if (grants && gives && e.reply()) { // deducted here first, so a lost message loses units
-            c.ceiling -= e.want();
-            m.given += e.want();
+        if (grants && gives && e.wantsReply()) { // deducted here first, so a lost message loses units
+            c.ceiling -= e.wantedUnits();
+            m.given += e.wantedUnits();
         }
-        if (e.reply()) {
+        if (e.wantsReply()) {
             peer.answers.add(c);
             outbox.queue(peer, null);
         }
     }
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void hearAnswer(double now, PeerState peer, QuotaMessage.Entry e, int mySerial, boolean toThisLife) {
+    private void hearAnswer(double now, PeerState peer, OwnerReply e, int mySerial, boolean toThisLife) {
         CustomerQuota c = customers.get(e.customer());
         if (c == null || !toThisLife) return;
         touch(now, c);
-        if (c.planNumber != e.plan()) { // one of the two was told a wrong plan: this grants nothing
+        if (c.planNumber != e.planNumber()) { // one of the two was told a wrong plan: this grants nothing
             List<PendingRequest> asked =
                     c.pending.stream().filter(a -> a.keeper == peer.number).toList();
             asked.forEach(a -> decide(now, a, false));
             return;
         }
         ReplicaState m = c.member(peer);
-        if (e.ceiling() && e.given() > m.taken) {
-            c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + e.given() - m.taken);
-            m.taken = e.given();
+        double given = e.ceilingUnitsGiven().orElse(0);
+        if (given > m.taken) {
+            c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + given - m.taken);
+            m.taken = given;
         }
         List<PendingRequest> judged = c.pending.stream()
-                .filter(a -> a.keeper == peer.number && !QuotaMessage.after(a.askSerial, mySerial))
+                .filter(a -> a.keeper == peer.number && !SerialArithmetic.isAfter(a.askSerial, mySerial))
                 .toList();
-        if (!e.unsure()) {
-            c.others = e.demand();
-            c.othersOpen = e.open();
+        if (!e.uncertain()) {
+            c.others = e.othersDemandPerSecond();
+            c.othersOpen = e.othersOpenRequests();
             c.newsAt = now;
             c.informed = true;
-            c.level = e.fullness() * c.plan.burstUnits() - QuotaMessage.ahead(c.used, e.used());
+            c.level = e.fullness() * c.plan.burstUnits() - SerialArithmetic.unitsAhead(c.used, e.bookedUnits());
         }
-        double granted = e.want();
+        double granted = e.grantedUnits();
         for (PendingRequest ask : judged) {
             double units = ask.request.units();
-            if (e.unsure() && ask.stage + 1 < c.keepers.length) {
+            if (e.uncertain() && ask.stage + 1 < c.keepers.length) {
                 question(now, ask, ask.stage + 1);
                 continue;
             }
