--- a/src/main/java/caperrudder/server/ConfigurationReloader.java
+++ b/src/main/java/caperrudder/server/ConfigurationReloader.java
@@ -1,8 +1,8 @@
 package caperrudder.server;
 
 import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.runtime.HangupSignal;
 import caperrudder.server.runtime.Log;
-import sun.misc.Signal;
 
 /**
  * SIGHUP: the file of the configuration was replaced. It is read on the signal's own thread, so that no request
@@ -18,11 +18,10 @@
         this.file = file;
     }
 
-    /** Takes the signal from now on. Java has no other way to it than this class, which all its releases keep. */
-    @SuppressWarnings("sunapi")
+    /** Takes the signal from now on. */
     static ConfigurationReloader onHangup(String file) {
         ConfigurationReloader reload = new ConfigurationReloader(file);
-        Signal.handle(new Signal("HUP"), signal -> reload.again());
+        HangupSignal.onReceive(reload::again);
         return reload;
     }
 
--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -121,7 +121,7 @@
         this.loop = group.next();
         this.lag = new EventLoopLag(clock, loop);
         this.budget = new StreamBufferBudget(config.memoryMb());
-        this.alone = DescriptorBudget.alone(config.sockets());
+        this.alone = DescriptorBudget.exclusive(config.sockets());
         this.shared = DescriptorBudget.shared(config.sockets());
         this.module = maker.apply(this);
         this.tally = new RequestCounters(config.settings().classes());
--- a/src/main/java/caperrudder/server/admin/AdminServer.java
+++ b/src/main/java/caperrudder/server/admin/AdminServer.java
@@ -58,7 +58,7 @@
             throws IOException {
         this.ready = ready;
         this.figures = figures;
-        this.maxConnections = DescriptorBudget.alone(sockets).secondAddress();
+        this.maxConnections = DescriptorBudget.exclusive(sockets).admin();
         try {
             listener = new ServerBootstrap()
                     .group(group)
--- a/src/main/java/caperrudder/server/config/GatewayConfig.java
+++ b/src/main/java/caperrudder/server/config/GatewayConfig.java
@@ -5,18 +5,16 @@
 import caperrudder.server.discovery.EndpointListParser;
 import caperrudder.server.discovery.EndpointListReader;
 import caperrudder.server.runtime.Log;
+import caperrudder.server.runtime.SocketAddresses;
 import caperrudder.settings.FieldException;
 import caperrudder.settings.Fields;
 import caperrudder.settings.SettingsReader;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.io.InputStream;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.UnknownHostException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -45,7 +43,6 @@
         int maxOpen) {
     private static final Log LOG = Log.of("config");
     private static final String KNOWN = "known";
-    private static final int PORT_MAX = 65_535;
     private static final int HEX = 16;
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int DEFAULT_MEMORY_MB = 96;
@@ -142,7 +139,7 @@
         try {
             return new GatewayConfig(
                     listen,
-                    address(address),
+                    SocketAddresses.parse(address),
                     discovery,
                     peerListen,
                     peers,
@@ -176,16 +173,16 @@
         Settings settings = SettingsReader.read(fields);
         List<InetSocketAddress> peers = new ArrayList<>();
         for (JsonNode peer : root.path("peers")) {
-            peers.add(address(peer.asText()));
+            peers.add(SocketAddresses.parse(peer.asText()));
         }
         boolean mail = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
         return new GatewayConfig(
-                address(text(root, "listen")),
-                root.hasNonNull("admin_addr") ? address(text(root, "admin_addr")) : null,
-                address(text(root, "discovery")),
-                mail ? address(text(root, "peer_listen")) : null,
+                SocketAddresses.parse(text(root, "listen")),
+                root.hasNonNull("admin_addr") ? SocketAddresses.parse(text(root, "admin_addr")) : null,
+                SocketAddresses.parse(text(root, "discovery")),
+                mail ? SocketAddresses.parse(text(root, "peer_listen")) : null,
                 List.copyOf(peers),
-                root.hasNonNull("peers_all") ? address(text(root, "peers_all")) : null,
+                root.hasNonNull("peers_all") ? SocketAddresses.parse(text(root, "peers_all")) : null,
                 root.path("limits").path("sockets").asInt(DEFAULT_SOCKETS),
                 root.path("limits").path("memory_mb").asInt(DEFAULT_MEMORY_MB),
                 known,
@@ -221,22 +218,4 @@
         }
         return value.asText();
     }
-
-    /** Numbers and a port: there are no names to look up. */
-    public static InetSocketAddress address(String text) {
-        int colon = text.lastIndexOf(':');
-        byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-        if (ip == null) {
-            throw new IllegalArgumentException("bad address '" + text + "'");
-        }
-        int port = Integer.parseInt(text.substring(colon + 1));
-        if (port < 0 || port > PORT_MAX) {
-            throw new IllegalArgumentException("bad port in '" + text + "'");
-        }
-        try {
-            return new InetSocketAddress(InetAddress.getByAddress(ip), port);
-        } catch (UnknownHostException e) {
-            throw new IllegalArgumentException("bad address '" + text + "'", e);
-        }
-    }
 }
--- a/src/main/java/caperrudder/server/discovery/EndpointListParser.java
+++ b/src/main/java/caperrudder/server/discovery/EndpointListParser.java
@@ -2,9 +2,9 @@
 
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
-import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.config.JsonTreeReader;
 import caperrudder.server.runtime.Log;
+import caperrudder.server.runtime.SocketAddresses;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -229,7 +229,7 @@
                 throw new IllegalArgumentException("no id");
             }
             HostState told = stateOf(state);
-            reached = told == HostState.GONE ? null : GatewayConfig.address(address.asText());
+            reached = told == HostState.GONE ? null : SocketAddresses.parse(address.asText());
             heard = told;
         } catch (IllegalArgumentException bad) {
             note(name, bad.getMessage());
--- a/src/main/java/caperrudder/server/runtime/EventLoopLag.java
+++ b/src/main/java/caperrudder/server/runtime/EventLoopLag.java
@@ -4,38 +4,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How late the event loop comes to what waits for it: a beat against its due time. What is read now may have stood
- * in its socket for so long, so its time is counted from before the loop was busy, not from the reading.
+ * How late the event loop runs what is due, measured by a periodic task against its due time. What is read from a
+ * socket now may have stood there for as long, so the time of a request is counted from before the loop was busy and
+ * not from its reading. On the event loop only.
  */
 public final class EventLoopLag {
-    private static final long BEAT_MS = 20;
-    private static final double GRAIN_MS = 10; // less is the timers' own doing
+    private static final long PERIOD_MS = 20;
+    /** A smaller lag is the granularity of the timers themselves and counts as none. */
+    private static final double TIMER_GRANULARITY_MS = 10;
 
     private final Clock clock;
     private final EventLoop loop;
-    private double due;
-    private double last;
+    private double dueMs;
+    private double lastLagMs;
 
     public EventLoopLag(Clock clock, EventLoop loop) {
         this.clock = clock;
         this.loop = loop;
     }
 
-    /** On the event loop. */
+    /** Begins to measure. */
     public void start() {
-        due = clock.now() + BEAT_MS;
+        dueMs = clock.now() + PERIOD_MS;
         loop.schedule(
                 () -> {
-                    last = clock.now() - due;
+                    lastLagMs = clock.now() - dueMs;
                     start();
                 },
-                BEAT_MS,
+                PERIOD_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** The lateness of the last beat, or of the next one where that is overdue by more. */
+    /** The lag in ms of the last measurement, or of the one that is due where that is overdue by more; else 0. */
     public double ms() {
-        double lag = Math.max(last, clock.now() - due);
-        return due > 0 && lag > GRAIN_MS ? lag : 0;
+        double lag = Math.max(lastLagMs, clock.now() - dueMs);
+        return dueMs > 0 && lag > TIMER_GRANULARITY_MS ? lag : 0;
     }
 }
--- a/src/main/java/caperrudder/server/runtime/StreamBufferBudget.java
+++ b/src/main/java/caperrudder/server/runtime/StreamBufferBudget.java
@@ -1,55 +1,63 @@
 package caperrudder.server.runtime;
 
 /**
- * The memory for what passes through: one sum, from the limit that the gateway was told, shared evenly by all that
- * stream at a time. Whatever streams asks for its window when it begins.
+ * The memory for messages that are streamed: one sum, a share of the memory that the configuration grants, divided
+ * evenly between all streams that are open. On the event loop only.
  */
 public final class StreamBufferBudget {
-    private static final int HELD_MAX = 64 * 1024; // a longer message is passed on as it comes
-    private static final int WINDOW_MAX = 64 * 1024;
-    private static final int WINDOW_MIN = 4 * 1024;
-    private static final long SHARE = 24; // of the memory told: the rest is the program's and what is held whole
-    private static final long KEPT_SHARE = 4; // of those, for what clients send ahead of their turn
+    /** A longer message is streamed and not held. */
+    private static final int HELD_MAX_BYTES = 64 * 1024;
 
-    private final long bytes;
+    private static final int WINDOW_MAX_BYTES = 64 * 1024;
+    private static final int WINDOW_MIN_BYTES = 4 * 1024;
+    /** One part in so many of the memory granted; the rest is the program's and that of messages held. */
+    private static final long MEMORY_DIVISOR = 24;
+    /** One part in so many of the budget, for requests that clients pipeline. */
+    private static final long PIPELINED_DIVISOR = 4;
+
+    private final long budgetBytes;
     private int streams;
-    private long keptBytes; // of what clients send ahead, beyond what each of them may
+    private long pipelinedBytes; // beyond what each connection may hold by itself
 
+    /** A budget from {@code memoryMb} MiB that the process may use. */
     public StreamBufferBudget(int memoryMb) {
-        this.bytes = (long) memoryMb * 1024 * 1024 / SHARE;
+        this.budgetBytes = (long) memoryMb * 1024 * 1024 / MEMORY_DIVISOR;
     }
 
-    /** The longest message that is held whole; less where many stream. */
-    int held() {
-        return Math.min(HELD_MAX, window());
+    /** The longest message in bytes that is held before it is forwarded; less where many are streamed. */
+    public int held() {
+        return Math.min(HELD_MAX_BYTES, window());
     }
 
     /**
-     * How much of a message must have come before it is passed on. Of one that announces to be long a little does:
-     * enough to tell it from one whose length is a lie, which is better tried elsewhere.
+     * How many bytes of a message must have come before it is forwarded. Of one that announces to be long a few do:
+     * enough to tell it from one whose length is wrong, which is better retried on another host.
      */
-    public int passedFrom(long announced) {
-        return announced > held() ? Math.min(WINDOW_MIN, held()) : held();
+    public int passedFrom(long announcedBytes) {
+        return announcedBytes > held() ? Math.min(WINDOW_MIN_BYTES, held()) : held();
     }
 
+    /** How many bytes one more stream may hold: 4 to 64 KiB. */
     public int window() {
-        return (int) Math.max(WINDOW_MIN, Math.min(WINDOW_MAX, bytes / Math.max(1, streams + 1)));
+        return (int) Math.max(WINDOW_MIN_BYTES, Math.min(WINDOW_MAX_BYTES, budgetBytes / Math.max(1, streams + 1)));
     }
 
-    /** Whether more may be kept of what clients send ahead while their requests wait. */
+    /** Whether more of the requests that clients pipeline may be held. */
     public boolean keepsMore() {
-        return keptBytes < bytes / KEPT_SHARE;
+        return pipelinedBytes < budgetBytes / PIPELINED_DIVISOR;
     }
 
-    /** So many bytes more are kept of that, or fewer where negative. */
+    /** So many more bytes of pipelined requests are held, or fewer where negative. */
     public void keep(int moreBytes) {
-        keptBytes += moreBytes;
+        pipelinedBytes += moreBytes;
     }
 
+    /** A stream was opened. */
     public void began() {
         streams++;
     }
 
+    /** A stream was closed. */
     public void ended() {
         streams--;
     }
--- a/src/main/java/caperrudder/server/runtime/Transport.java
+++ b/src/main/java/caperrudder/server/runtime/Transport.java
@@ -20,8 +20,12 @@
 import java.net.SocketAddress;
 import java.net.StandardSocketOptions;
 
-/** What carries a node's connections: TCP, or for its warm-up the process's own memory, which nobody else can reach. */
+/**
+ * What carries the connections of a gateway: TCP, or for its warm-up the memory of the process, which nobody else can
+ * reach.
+ */
 public enum Transport {
+    /** TCP with the options of a gateway: no delay of small packets, listeners that a successor can share. */
     TCP {
         @Override
         public ServerBootstrap server(EventLoopGroup group) {
@@ -51,6 +55,7 @@
         }
     },
 
+    /** Channels within the process; addresses are names only. */
     MEMORY {
         @Override
         public ServerBootstrap server(EventLoopGroup group) {
@@ -68,37 +73,40 @@
         }
     };
 
-    private static final int BACKLOG = 512;
-    private static final int READ_MIN = 512;
-    private static final int READ_FIRST = 2048;
-    private static final int READ_MAX = 16 * 1024; // bytes a read: what streams holds little more than its window
+    private static final int BACKLOG = 512; // connections that wait to be accepted
+    private static final int READ_MIN_BYTES = 512;
+    private static final int READ_FIRST_BYTES = 2048;
+    private static final int READ_MAX_BYTES = 16 * 1024; // a stream holds little more than its window
 
-    static RecvByteBufAllocator readBuffers() {
-        return new AdaptiveRecvByteBufAllocator(READ_MIN, READ_FIRST, READ_MAX);
+    private static RecvByteBufAllocator readBuffers() {
+        return new AdaptiveRecvByteBufAllocator(READ_MIN_BYTES, READ_FIRST_BYTES, READ_MAX_BYTES);
     }
 
-    /** A few connections for each look at the sockets, after which those that were closed are really gone. */
+    /** A few connections for each select, after which the descriptors of those that were closed are really free. */
     public static RecvByteBufAllocator accepting() {
         return new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(DescriptorBudget.ACCEPTED_AT_ONCE);
     }
 
+    /** For listeners whose connections run on {@code group}. */
     public abstract ServerBootstrap server(EventLoopGroup group);
 
+    /** For connections that run on {@code loop}. */
     public abstract Bootstrap client(EventLoop loop);
 
+    /** The form in which this transport knows {@code address}. */
     public abstract SocketAddress at(InetSocketAddress address);
 
-    /** Closes a listener; over TCP only once all that wait in its queue are taken. */
+    /** Closes a listener; over TCP only once all connections in its queue are accepted. On the event loop. */
     public static ChannelFuture stopAccepting(Channel listener) {
         return listener instanceof DrainableListener drainableListener
-                ? drainableListener.emptyAndClose()
+                ? drainableListener.acceptPendingAndClose()
                 : listener.close();
     }
 
-    /** Reads what stands unread in a socket before the loop comes to it; in memory nothing stands unread. */
+    /** Reads what stands unread in a socket before the event loop selects it; in memory nothing stands unread. */
     public static void readNow(Channel channel) {
-        if (channel.unsafe() instanceof NioUnsafe) {
-            ((NioUnsafe) channel.unsafe()).read();
+        if (channel.unsafe() instanceof NioUnsafe socket) {
+            socket.read();
         }
     }
 }
--- a/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
+++ b/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
@@ -11,6 +11,7 @@
 import caperrudder.server.Sockets;
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.config.JsonTreeReader;
+import caperrudder.server.runtime.SocketAddresses;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.sun.management.ThreadMXBean;
@@ -98,7 +99,7 @@
                         };
                 address = told == HostState.GONE
                         ? null
-                        : GatewayConfig.address(e.path("addr").asText());
+                        : SocketAddresses.parse(e.path("addr").asText());
                 state = told;
             } catch (IllegalArgumentException bad) {
                 // drains
--- a/src/test/java/caperrudder/server/runtime/DescriptorBudgetTest.java
+++ b/src/test/java/caperrudder/server/runtime/DescriptorBudgetTest.java
@@ -10,9 +10,9 @@
 class DescriptorBudgetTest {
     @ParameterizedTest
     @ValueSource(ints = {128, 192, 256, 512, 1024, 4096})
-    void allTogetherFitAndClientsHaveTheirThird(int limit) {
-        DescriptorBudget d = DescriptorBudget.alone(limit);
-        assertTrue(d.most() <= limit, d.toString());
+    void exclusiveBudgetFitsTheLimitAndGivesClientsAThird(int limit) {
+        DescriptorBudget d = DescriptorBudget.exclusive(limit);
+        assertTrue(d.maximumInUse() <= limit, d.toString());
         assertTrue(d.clients() >= limit / 3, d.toString());
         assertTrue(d.hosts() >= limit / 4, d.toString());
     }
@@ -20,10 +20,10 @@
     /** Half of the sockets are a process's own where two run; there is one second address each, told at its start. */
     @ParameterizedTest
     @ValueSource(ints = {256, 512, 1024, 4096})
-    void twoProcessesFitTogether(int limit) {
+    void sharedBudgetsOfTwoProcessesFitTheLimit(int limit) {
         DescriptorBudget d = DescriptorBudget.shared(limit);
-        assertTrue(d.clients() + d.hosts() + d.secondAddress() + 16 <= limit / 2, d.toString());
+        assertTrue(d.clients() + d.hosts() + d.admin() + 16 <= limit / 2, d.toString());
         assertTrue(2 * d.clients() >= limit / 3, d.toString());
-        assertEquals(DescriptorBudget.alone(limit).secondAddress(), d.secondAddress());
+        assertEquals(DescriptorBudget.exclusive(limit).admin(), d.admin());
     }
 }
--- a/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
+++ b/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void withoutMemoryForItsConfiguration() throws Exception {
+    void configurationBeyondTheHeapEndsTheProcess() throws Exception {
         start(
                 "caperrudder.Main",
                 "serve",
@@ -71,14 +71,14 @@
 
     /** The loop's library drops an error with the task that threw it. */
     @Test
-    void whenTheModuleFailsInATaskOfTheEventLoop() throws Exception {
+    void errorInATaskOfTheEventLoopEndsTheProcess() throws Exception {
         start(Failing.class.getName(), "timerFired", Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
         assertEnded("FATAL process: can't continue cause=\"java.lang.StackOverflowError: timerFired\"");
     }
 
     /** The loop's library turns an error into one closed connection. */
     @Test
-    void whenTheModuleFailsAtARequest() throws Exception {
+    void errorWhileARequestIsReadEndsTheProcess() throws Exception {
         start(Failing.class.getName(), "requestReceived", Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
         int port =
                 process.getInputStream().read() << 8 | process.getInputStream().read();
