--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -18,6 +18,7 @@
 import caperrudder.server.discovery.EndpointList;
 import caperrudder.server.downstream.DownstreamServer;
 import caperrudder.server.handover.ProcessHandover;
+import caperrudder.server.handover.SnapshotExchange;
 import caperrudder.server.http.RequestBody;
 import caperrudder.server.runtime.Clock;
 import caperrudder.server.runtime.DescriptorBudget;
@@ -52,7 +53,7 @@
  * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
  * table of open requests. It carries out what the module decides and tells it what came of it.
  */
-public final class GatewayServer implements PolicyActions, ProcessHandover.Party {
+public final class GatewayServer implements PolicyActions, SnapshotExchange {
     private static final Log LOG = Log.of("gateway");
     private static final long EXIT_MS = 3400; // after SIGTERM: the last bytes have had their time
     private static final long FIRST_LIST_MS = 500; // an agent nearby that serves has answered by then
@@ -142,22 +143,22 @@
         try {
             GatewayConfig config = GatewayConfig.read(configFile).withAdmin(adminAddress);
             GatewayServer node = new GatewayServer(config);
-            ProcessHandover succession = new ProcessHandover(node, System.getenv("TMPDIR"), node.clock);
+            ProcessHandover handover = new ProcessHandover(node, System.getenv("TMPDIR"), node.clock);
             // Before it listens: SIGTERM between the two would end the process with what it had just taken.
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> node.drainAndHalt(succession)));
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> node.drainAndHalt(handover)));
             node.openSecondAddress();
             node.loop.execute(node.peers::start);
-            succession.begin();
+            handover.begin();
             LOG.info(
                     "warmed up",
                     "answers",
                     StartupWarmUp.run(
                             config,
                             StartupWarmUp.ENOUGH,
-                            succession.warmUpMs(StartupWarmUp.PATIENCE_MS),
+                            handover.warmUpLimitMs(StartupWarmUp.PATIENCE_MS),
                             node::isMissed));
-            if (node.start(succession.left())) {
-                succession.serving();
+            if (node.start(handover.predecessorSnapshot().orElse(null))) {
+                handover.startServing();
                 reload.follow(node);
             }
         } catch (GatewayConfig.BadConfig | IOException | InterruptedException e) {
@@ -275,18 +276,18 @@
     // ---- the turn from one process to the next
 
     @Override
-    public Snapshot books() throws InterruptedException, ExecutionException {
+    public Snapshot takeSnapshot() throws InterruptedException, ExecutionException {
         return loop.submit(() -> module.takeSnapshot(clock.now())).get();
     }
 
     @Override
-    public void inherit(Snapshot books) {
-        loop.execute(() -> tell((now, m) -> m.restoreSnapshot(now, books)));
+    public void restoreSnapshot(Snapshot snapshot) {
+        loop.execute(() -> tell((now, m) -> m.restoreSnapshot(now, snapshot)));
     }
 
     @Override
-    public void beside(boolean other) {
-        loop.execute(() -> beside = other);
+    public void runsBesideAnother(boolean anotherRuns) {
+        loop.execute(() -> beside = anotherRuns);
     }
 
     // ---- telling the module
@@ -585,8 +586,8 @@
 
     // ---- the end
 
-    private void drainAndHalt(ProcessHandover succession) {
-        boolean succeeded = succession.isSucceeded();
+    private void drainAndHalt(ProcessHandover handover) {
+        boolean succeeded = handover.hasServingSuccessor();
         loop.execute(() -> end(succeeded));
         try {
             awaitDrained(EXIT_MS);
--- a/src/main/java/caperrudder/server/StartupProfileRun.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -4,6 +4,7 @@
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.handover.ProcessHandover;
 import caperrudder.server.handover.SnapshotCodec;
+import caperrudder.server.handover.SnapshotFormatException;
 import caperrudder.server.runtime.LibraryLog;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -68,24 +69,24 @@
             ask(second, "/api/ready", "3", 1);
             ask(second, "/api/telemetry", "4", 1);
             follow(node);
-        } catch (ExecutionException e) {
+        } catch (ExecutionException | SnapshotFormatException e) {
             throw new IOException(e);
         } finally {
             node.stop(); // or a build would never end
         }
     }
 
-    private static void follow(GatewayServer node) throws IOException, InterruptedException, ExecutionException {
+    private static void follow(GatewayServer node)
+            throws IOException, InterruptedException, ExecutionException, SnapshotFormatException {
         Path shared = Files.createTempDirectory(Path.of("target"), "rehearsal");
-        ProcessHandover succession = new ProcessHandover(node, shared.toString(), node.clock);
-        succession.begin();
-        succession.serving();
-        if (succession.left() != null
-                || succession.isSucceeded()
-                || SnapshotCodec.read(SnapshotCodec.write(node.books())) == null) {
-            throw new IOException("books can't be read");
+        ProcessHandover handover = new ProcessHandover(node, shared.toString(), node.clock);
+        handover.begin();
+        handover.startServing();
+        if (handover.predecessorSnapshot().isPresent() || handover.hasServingSuccessor()) {
+            throw new IOException("another process where there is none");
         }
-        succession.end();
+        SnapshotCodec.decode(SnapshotCodec.encode(node.takeSnapshot()));
+        handover.end();
         Files.delete(shared.resolve("caperrudder-claim"));
         Files.delete(shared);
     }
--- a/src/main/java/caperrudder/server/handover/HandoverFiles.java
+++ b/src/main/java/caperrudder/server/handover/HandoverFiles.java
@@ -6,62 +6,83 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /**
- * The two files by which the processes of one gateway know of each other: who came last, and the books. Each is
- * written whole beside its place and renamed, so a reader finds the old or the new one; what can't be read is absent.
+ * The two files by which the processes of one gateway know of each other: the claim of the one that started last, and
+ * the snapshot. Each is written whole beside its place and renamed, so a reader finds the old or the new one; what is
+ * missing, torn or damaged is absent. Processes of different versions of the program share them, so names and formats
+ * must not change.
  */
-public final class HandoverFiles {
-    private static final String PREFIX = "caperrudder-";
-    private static final int CLAIM_BYTES = 64;
-    private static final Pattern CLAIM = Pattern.compile("1 (\\d{1,18}) (true|false)\n");
+final class HandoverFiles {
+    private static final String CLAIM_NAME = "caperrudder-claim";
+    private static final String SNAPSHOT_NAME = "caperrudder-books";
+    private static final int CLAIM_MAX_BYTES = 64;
+    /** Format version, process, whether it serves. */
+    private static final Pattern CLAIM_FORMAT = Pattern.compile("1 (\\d{1,18}) (true|false)\n");
 
-    /** The process that started last, and whether it takes clients. */
-    public record Claim(long process, boolean serving) {}
+    /**
+     * The process that started last.
+     *
+     * @param process its process id
+     * @param serving whether it serves clients
+     */
+    record Claim(long process, boolean serving) {}
 
-    private final Path claim;
-    private final Path books;
+    private final Path claimFile;
+    private final Path snapshotFile;
 
-    public HandoverFiles(Path folder) {
-        claim = folder.resolve(PREFIX + "claim");
-        books = folder.resolve(PREFIX + "books");
+    HandoverFiles(Path folder) {
+        claimFile = folder.resolve(CLAIM_NAME);
+        snapshotFile = folder.resolve(SNAPSHOT_NAME);
     }
 
-    public void write(Claim c) throws IOException {
-        write(claim, ("1 " + c.process + ' ' + c.serving + '\n').getBytes(StandardCharsets.US_ASCII));
+    void writeClaim(Claim claim) throws IOException {
+        String line = "1 " + claim.process + ' ' + claim.serving + '\n';
+        replace(claimFile, line.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Null where there is none. */
-    public Claim claim() {
-        byte[] text = read(claim, CLAIM_BYTES);
-        Matcher m = CLAIM.matcher(new String(text, StandardCharsets.US_ASCII));
-        return m.matches() ? new Claim(Long.parseLong(m.group(1)), Boolean.parseBoolean(m.group(2))) : null;
+    Optional<Claim> readClaim() {
+        String text = new String(read(claimFile, CLAIM_MAX_BYTES), StandardCharsets.US_ASCII);
+        Matcher matcher = CLAIM_FORMAT.matcher(text);
+        return matcher.matches()
+                ? Optional.of(new Claim(Long.parseLong(matcher.group(1)), Boolean.parseBoolean(matcher.group(2))))
+                : Optional.empty();
     }
 
-    public void write(Snapshot b) throws IOException {
-        byte[] bytes = SnapshotCodec.write(b);
+    /** Leaves the file as it is where the snapshot is too long. */
+    void writeSnapshot(Snapshot snapshot) throws IOException {
+        byte[] bytes = SnapshotCodec.encode(snapshot);
         if (bytes.length <= SnapshotCodec.MAX_BYTES) {
-            write(books, bytes);
+            replace(snapshotFile, bytes);
         }
     }
 
-    /** Null where there are none. */
-    public Snapshot books() {
-        return SnapshotCodec.read(read(books, SnapshotCodec.MAX_BYTES));
+    Optional<Snapshot> readSnapshot() {
+        byte[] bytes = read(snapshotFile, SnapshotCodec.MAX_BYTES);
+        if (bytes.length == 0) {
+            return Optional.empty();
+        }
+        try {
+            return Optional.of(SnapshotCodec.decode(bytes));
+        } catch (SnapshotFormatException e) {
+            return Optional.empty(); // the process starts as one without a predecessor
+        }
     }
 
-    private static void write(Path to, byte[] bytes) throws IOException {
-        Path beside = to.resolveSibling(
-                to.getFileName() + "." + ProcessHandle.current().pid());
-        Files.write(beside, bytes);
-        Files.move(beside, to, StandardCopyOption.ATOMIC_MOVE);
+    private static void replace(Path file, byte[] bytes) throws IOException {
+        Path temporary = file.resolveSibling(
+                file.getFileName() + "." + ProcessHandle.current().pid());
+        Files.write(temporary, bytes);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private static byte[] read(Path from, int max) {
+    /** The bytes of a file; none where it is missing, can't be read or is longer than {@code maxBytes}. */
+    private static byte[] read(Path file, int maxBytes) {
         try {
-            return Files.size(from) <= max ? Files.readAllBytes(from) : new byte[0];
+            return Files.size(file) <= maxBytes ? Files.readAllBytes(file) : new byte[0];
         } catch (IOException e) {
             return new byte[0];
         }
--- a/src/main/java/caperrudder/server/handover/ProcessHandover.java
+++ b/src/main/java/caperrudder/server/handover/ProcessHandover.java
@@ -6,165 +6,190 @@
 import caperrudder.server.runtime.Log;
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
 /**
- * The turn from one process of a gateway to the next. Its own thread reads and writes the files that they share;
- * the event loop only makes and takes books.
+ * The handover from one process of a gateway to the next (page DEPLOY, upgrades). Each process claims the gateway in a
+ * file; one that finds a later claim of a living process has a successor, and leaves it snapshots.
+ *
+ * <p>{@link #begin}, {@link #warmUpLimitMs}, {@link #predecessorSnapshot} and {@link #startServing} are called by the
+ * thread that starts the process, in this order; then the files are read and written by the thread
+ * {@code handover} alone, and by the one that ends the process.
  */
 public final class ProcessHandover {
     private static final Log LOG = Log.of("handover");
-    private static final long BEAT_MS = 250;
-    private static final double FRESH_MS = 5000; // older books are of a process that was gone before this one came
-    private static final long YES_MS = 5000; // from a successor's start to its word that it serves; 6000 are allowed
+    private static final String THREAD_NAME = "handover";
+    private static final long PERIOD_MS = 250;
+    /** An older snapshot is of a process that was gone before this one came. */
+    private static final double SNAPSHOT_MAX_AGE_MS = 5000;
+    /** From a successor's start to its claim that it serves; DEPLOY allows 6000. */
+    private static final long SUCCESSOR_READY_MS = 5000;
 
-    /** What of a node takes part. */
-    public interface Party {
-        Snapshot books() throws InterruptedException, ExecutionException;
+    private static final long NO_PROCESS = 0;
 
-        void inherit(Snapshot books);
-
-        /** Whether another process of this gateway runs beside this one. */
-        void beside(boolean other);
-    }
-
-    private final Party party;
-    private final HandoverFiles files; // null: there is no folder to share
+    private final SnapshotExchange gateway;
+    private final Optional<HandoverFiles> files; // empty where there is no folder to share
     private final Clock clock;
-    private final long me = ProcessHandle.current().pid();
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread t = new Thread(task, "succession");
-        t.setDaemon(true);
-        return t;
+    private final long ownProcess = ProcessHandle.current().pid();
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread thread = new Thread(task, THREAD_NAME);
+        thread.setDaemon(true);
+        return thread;
     });
-    private long predecessor; // 0: none lives
-    private double takenAt; // of the last books taken in
-    private boolean failing;
-
-    /** {@code folder} may be null or empty: then no process ever finds another. */
-    public ProcessHandover(Party party, String folder, Clock clock) {
-        this.party = party;
-        this.files = folder == null || folder.isEmpty() ? null : new HandoverFiles(Path.of(folder));
+    private long predecessor = NO_PROCESS; // that lives
+    private double restoredAtMs; // when the last snapshot that was restored had been taken
+    private boolean failing; // since a file could not be written
+
+    /**
+     * A handover that has not begun.
+     *
+     * @param folder which the processes of the gateway share; null or empty where there is none: then no process ever
+     *     finds another
+     */
+    public ProcessHandover(SnapshotExchange gateway, String folder, Clock clock) {
+        this.gateway = gateway;
+        this.files =
+                folder == null || folder.isEmpty() ? Optional.empty() : Optional.of(new HandoverFiles(Path.of(folder)));
         this.clock = clock;
     }
 
-    /** Before anything that takes time: whoever serves now learns that it is to be followed. */
+    /** Before anything that takes time: whoever serves now learns that it has a successor. */
     public void begin() {
-        Claim last = files == null ? null : files.claim();
-        predecessor = last != null && lives(last.process()) ? last.process() : 0;
-        party.beside(predecessor != 0);
-        claim(false);
+        predecessor = files.flatMap(HandoverFiles::readClaim)
+                .filter(claim -> isAlive(claim.process()))
+                .map(Claim::process)
+                .orElse(NO_PROCESS);
+        gateway.runsBesideAnother(predecessor != NO_PROCESS);
+        writeClaim(false);
     }
 
-    /** What is left of the longest warm-up: a successor has its time to say yes, from its process's start. */
-    public long warmUpMs(long longest) {
-        if (predecessor == 0) {
-            return longest;
+    /** What is left of the longest warm-up in ms: a successor has to serve in time, from its process's start. */
+    public long warmUpLimitMs(long longestMs) {
+        if (predecessor == NO_PROCESS) {
+            return longestMs;
         }
         double startedMs = ProcessHandle.current()
                 .info()
                 .startInstant()
-                .map(i -> (double) i.toEpochMilli())
+                .map(instant -> (double) instant.toEpochMilli())
                 .orElse(clock.now());
-        return Math.max(0, Math.min(longest, (long) (startedMs + YES_MS - clock.now())));
+        return Math.max(0, Math.min(longestMs, (long) (startedMs + SUCCESSOR_READY_MS - clock.now())));
     }
 
-    /** The books that were left; null where there are none of now. */
-    public Snapshot left() {
-        Snapshot b = files == null ? null : files.books();
-        if (b == null || Math.abs(clock.now() - b.takenAtMs()) > FRESH_MS) {
-            return null;
-        }
-        takenAt = b.takenAtMs();
-        return b;
+    /** The snapshot that the predecessor left; empty where there is none of now. */
+    public Optional<Snapshot> predecessorSnapshot() {
+        Optional<Snapshot> fresh =
+                readSnapshot().filter(snapshot -> Math.abs(clock.now() - snapshot.takenAtMs()) <= SNAPSHOT_MAX_AGE_MS);
+        fresh.ifPresent(snapshot -> restoredAtMs = snapshot.takenAtMs());
+        return fresh;
     }
 
-    /** Clients are taken from now on. */
-    public void serving() {
-        claim(true);
-        if (files != null) {
-            thread.scheduleWithFixedDelay(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+    /** Clients are served from now on. */
+    public void startServing() {
+        writeClaim(true);
+        if (files.isPresent()) {
+            executor.scheduleWithFixedDelay(this::exchange, PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** At the end: whether another process takes the clients; if so, it finds the books as they are now. */
-    public boolean isSucceeded() {
-        Claim last = successor();
-        if (last != null) {
-            leave();
+    /** At the end: whether a successor serves clients; if so, it finds a snapshot of now. */
+    public boolean hasServingSuccessor() {
+        Optional<Claim> successor = findSuccessor();
+        if (successor.isPresent()) {
+            writeSnapshot();
         }
-        return last != null && last.serving();
+        return successor.map(Claim::serving).orElse(false);
     }
 
     /** Nothing is read or written from now on. */
     public void end() throws InterruptedException {
-        thread.shutdownNow();
-        thread.awaitTermination(BEAT_MS, TimeUnit.MILLISECONDS);
+        executor.shutdownNow();
+        executor.awaitTermination(PERIOD_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void beat() {
+    private void exchange() {
         try {
-            if (predecessor != 0) {
-                boolean ended = !lives(predecessor);
-                Snapshot b = files.books(); // after that look, so that its last word is heard
-                if (b != null && b.takenAtMs() > takenAt) {
-                    takenAt = b.takenAtMs();
-                    party.inherit(b);
-                }
-                predecessor = ended ? 0 : predecessor;
-            }
-            boolean followed = successor() != null;
-            Claim last = files.claim();
-            if (!followed && (last == null || last.process() != me)) {
-                claim(true); // its successor ended, and the next one is to find this process
+            restoreFromPredecessor();
+            boolean hasSuccessor = findSuccessor().isPresent();
+            if (!hasSuccessor && !isOwnClaim()) {
+                writeClaim(true); // the successor ended, and the next one is to find this process
             }
-            party.beside(followed || predecessor != 0);
-            if (followed && predecessor == 0) { // one writer at a time
-                leave();
+            gateway.runsBesideAnother(hasSuccessor || predecessor != NO_PROCESS);
+            if (hasSuccessor && predecessor == NO_PROCESS) { // one writer at a time
+                writeSnapshot();
             }
-        } catch (RuntimeException e) { // a beat that throws would be the last
+        } catch (RuntimeException e) { // the executor would not run a task again that throws
             LOG.error("unexpected exception", "cause", e);
         }
     }
 
-    private void leave() {
+    private void restoreFromPredecessor() {
+        if (predecessor == NO_PROCESS) {
+            return;
+        }
+        boolean ended = !isAlive(predecessor); // before its file is read, so that its last snapshot is not missed
+        Optional<Snapshot> later = readSnapshot().filter(snapshot -> snapshot.takenAtMs() > restoredAtMs);
+        if (later.isPresent()) {
+            restoredAtMs = later.get().takenAtMs();
+            gateway.restoreSnapshot(later.get());
+        }
+        if (ended) {
+            predecessor = NO_PROCESS;
+        }
+    }
+
+    private Optional<Snapshot> readSnapshot() {
+        return files.flatMap(HandoverFiles::readSnapshot);
+    }
+
+    private boolean isOwnClaim() {
+        return files.flatMap(HandoverFiles::readClaim)
+                .filter(claim -> claim.process() == ownProcess)
+                .isPresent();
+    }
+
+    private void writeSnapshot() {
         try {
-            files.write(party.books());
+            files.orElseThrow().writeSnapshot(gateway.takeSnapshot());
             failing = false;
         } catch (IOException | ExecutionException e) {
-            fault("snapshot not written", e);
+            logFirst("snapshot not written", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void claim(boolean serving) {
-        if (files != null) {
-            try {
-                files.write(new Claim(me, serving));
-            } catch (IOException e) {
-                fault("claim not written", e);
-            }
+    private void writeClaim(boolean serving) {
+        if (files.isEmpty()) {
+            return;
+        }
+        try {
+            files.get().writeClaim(new Claim(ownProcess, serving));
+        } catch (IOException e) {
+            logFirst("claim not written", e);
         }
     }
 
-    private void fault(String message, Exception cause) {
+    /** One line for a row of failures. */
+    private void logFirst(String message, Exception cause) {
         if (!failing) {
             LOG.warn(message, "cause", cause);
         }
         failing = true;
     }
 
-    /** Null where no later process of this gateway lives. */
-    private Claim successor() {
-        Claim last = files == null ? null : files.claim();
-        return last != null && last.process() != me && lives(last.process()) ? last : null;
+    /** The claim of a later process of this gateway that lives. */
+    private Optional<Claim> findSuccessor() {
+        return files.flatMap(HandoverFiles::readClaim)
+                .filter(claim -> claim.process() != ownProcess)
+                .filter(claim -> isAlive(claim.process()));
     }
 
-    private static boolean lives(long process) {
+    private static boolean isAlive(long process) {
         return ProcessHandle.of(process).map(ProcessHandle::isAlive).orElse(false);
     }
 }
--- a/src/main/java/caperrudder/server/handover/SnapshotCodec.java
+++ b/src/main/java/caperrudder/server/handover/SnapshotCodec.java
@@ -15,87 +15,114 @@
 import java.util.List;
 import java.util.zip.CRC32;
 
-/** The bytes of a gateway's books: a version, the entries, a check sum. Translation only. */
+/**
+ * The bytes of a policy's snapshot: format version, entries, checksum, all big-endian. Processes of different versions
+ * of the program read each other's snapshots, so the bytes must not change. Has no state.
+ */
 public final class SnapshotCodec {
+    /** The longest snapshot that is written or read, in bytes. */
     static final int MAX_BYTES = 1 << 20;
-    private static final int VERSION = 0xCA9E0001;
-    private static final int SUM_BYTES = Long.BYTES;
+
+    private static final int FORMAT_VERSION = 0xCA9E0001;
+    private static final int CHECKSUM_BYTES = Long.BYTES;
 
     private SnapshotCodec() {}
 
-    private interface Part<T> {
-        T read(DataInputStream in) throws IOException;
+    @FunctionalInterface
+    private interface EntryDecoder<T> {
+        T decode(DataInputStream in) throws IOException;
     }
 
-    public static byte[] write(Snapshot books) {
+    /** The bytes of {@code snapshot}, of whatever length. */
+    public static byte[] encode(Snapshot snapshot) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeInt(VERSION);
-            out.writeDouble(books.takenAtMs());
-            out.writeDouble(books.concurrencyPerHost());
-            out.writeInt(books.quotas().size());
-            for (QuotaSnapshot c : books.quotas()) {
-                out.writeLong(c.customer());
-                out.writeUTF(c.plan());
-                out.writeInt(c.firstReplica());
-                out.writeInt(c.replicaCount());
-                doubles(
-                        out,
-                        c.sharedLevel(),
-                        c.localTokens(),
-                        c.meteredLevel(),
-                        c.demandPerSecond(),
-                        c.usedUnits(),
-                        c.usePerSecond(),
-                        c.meteredShare(),
-                        c.meteredAtMs(),
-                        c.meteredOthersPerSecond());
-            }
-            out.writeInt(books.health().size());
-            for (HealthSnapshot h : books.health()) {
-                out.writeUTF(h.host());
-                out.writeUTF(h.requestClass());
-                doubles(out, h.latencyPenalty(), h.updatedAtMs());
-                out.writeInt(h.failuresSinceSuccess());
-            }
-            out.writeInt(books.classes().size());
-            for (ClassSnapshot c : books.classes()) {
-                out.writeUTF(c.name());
-                doubles(out, c.weight(), c.latencyPerUnit(), c.baseLatencyPerUnit());
-                out.writeInt(c.samples());
-                doubles(out, c.delay(), c.slope());
-            }
-            out.writeLong(sum(bytes.toByteArray(), bytes.size()));
+            out.writeInt(FORMAT_VERSION);
+            out.writeDouble(snapshot.takenAtMs());
+            out.writeDouble(snapshot.concurrencyPerHost());
+            encodeQuotas(out, snapshot.quotas());
+            encodeHealth(out, snapshot.health());
+            encodeClasses(out, snapshot.classes());
+            out.writeLong(checksum(bytes.toByteArray(), bytes.size()));
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail, and no name is as long as that
+            throw new UncheckedIOException(e); // memory does not fail, and no name is too long for the format
         }
         return bytes.toByteArray();
     }
 
-    /** Null where the bytes are torn, damaged or of another version. */
-    public static Snapshot read(byte[] bytes) {
-        int length = bytes.length - SUM_BYTES;
-        if (length < 0) {
-            return null;
+    private static void encodeQuotas(DataOutputStream out, List<QuotaSnapshot> quotas) throws IOException {
+        out.writeInt(quotas.size());
+        for (QuotaSnapshot quota : quotas) {
+            out.writeLong(quota.customer());
+            out.writeUTF(quota.plan());
+            out.writeInt(quota.firstReplica());
+            out.writeInt(quota.replicaCount());
+            out.writeDouble(quota.sharedLevel());
+            out.writeDouble(quota.localTokens());
+            out.writeDouble(quota.meteredLevel());
+            out.writeDouble(quota.demandPerSecond());
+            out.writeDouble(quota.usedUnits());
+            out.writeDouble(quota.usePerSecond());
+            out.writeDouble(quota.meteredShare());
+            out.writeDouble(quota.meteredAtMs());
+            out.writeDouble(quota.meteredOthersPerSecond());
+        }
+    }
+
+    private static void encodeHealth(DataOutputStream out, List<HealthSnapshot> entries) throws IOException {
+        out.writeInt(entries.size());
+        for (HealthSnapshot health : entries) {
+            out.writeUTF(health.host());
+            out.writeUTF(health.requestClass());
+            out.writeDouble(health.latencyPenalty());
+            out.writeDouble(health.updatedAtMs());
+            out.writeInt(health.failuresSinceSuccess());
+        }
+    }
+
+    private static void encodeClasses(DataOutputStream out, List<ClassSnapshot> classes) throws IOException {
+        out.writeInt(classes.size());
+        for (ClassSnapshot requestClass : classes) {
+            out.writeUTF(requestClass.name());
+            out.writeDouble(requestClass.weight());
+            out.writeDouble(requestClass.latencyPerUnit());
+            out.writeDouble(requestClass.baseLatencyPerUnit());
+            out.writeInt(requestClass.samples());
+            out.writeDouble(requestClass.delay());
+            out.writeDouble(requestClass.slope());
+        }
+    }
+
+    /**
+     * The snapshot in {@code bytes}.
+     *
+     * @throws SnapshotFormatException where they are torn, damaged or of another version of the format
+     */
+    public static Snapshot decode(byte[] bytes) throws SnapshotFormatException {
+        int length = bytes.length - CHECKSUM_BYTES;
+        if (length < Integer.BYTES) {
+            throw new SnapshotFormatException("only " + bytes.length + " bytes");
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            if (in.readInt() != VERSION || readSum(bytes, length) != sum(bytes, length)) {
-                return null;
+            int version = in.readInt();
+            if (version != FORMAT_VERSION) {
+                throw new SnapshotFormatException("unknown format version " + Integer.toHexString(version));
+            }
+            if (readChecksum(bytes, length) != checksum(bytes, length)) {
+                throw new SnapshotFormatException("wrong checksum");
             }
-            double at = in.readDouble();
-            double perHost = in.readDouble();
             return new Snapshot(
-                    at,
-                    perHost,
-                    list(in, SnapshotCodec::customer),
-                    list(in, SnapshotCodec::health),
-                    list(in, SnapshotCodec::requestClass));
+                    in.readDouble(),
+                    in.readDouble(),
+                    decodeAll(in, SnapshotCodec::decodeQuota),
+                    decodeAll(in, SnapshotCodec::decodeHealth),
+                    decodeAll(in, SnapshotCodec::decodeClass));
         } catch (IOException e) {
-            return null;
+            throw new SnapshotFormatException("ends inside an entry", e);
         }
     }
 
-    private static QuotaSnapshot customer(DataInputStream in) throws IOException {
+    private static QuotaSnapshot decodeQuota(DataInputStream in) throws IOException {
         return new QuotaSnapshot(
                 in.readLong(),
                 in.readUTF(),
@@ -112,11 +139,11 @@
                 in.readDouble());
     }
 
-    private static HealthSnapshot health(DataInputStream in) throws IOException {
+    private static HealthSnapshot decodeHealth(DataInputStream in) throws IOException {
         return new HealthSnapshot(in.readUTF(), in.readUTF(), in.readDouble(), in.readDouble(), in.readInt());
     }
 
-    private static ClassSnapshot requestClass(DataInputStream in) throws IOException {
+    private static ClassSnapshot decodeClass(DataInputStream in) throws IOException {
         return new ClassSnapshot(
                 in.readUTF(),
                 in.readDouble(),
@@ -127,25 +154,19 @@
                 in.readDouble());
     }
 
-    private static <T> List<T> list(DataInputStream in, Part<T> part) throws IOException {
-        List<T> all = new ArrayList<>();
+    private static <T> List<T> decodeAll(DataInputStream in, EntryDecoder<T> decoder) throws IOException {
+        List<T> entries = new ArrayList<>();
         for (int left = in.readInt(); left > 0; left--) {
-            all.add(part.read(in));
-        }
-        return all;
-    }
-
-    private static void doubles(DataOutputStream out, double... values) throws IOException {
-        for (double v : values) {
-            out.writeDouble(v);
+            entries.add(decoder.decode(in));
         }
+        return entries;
     }
 
-    private static long readSum(byte[] bytes, int from) throws IOException {
+    private static long readChecksum(byte[] bytes, int from) throws IOException {
         return new DataInputStream(new ByteArrayInputStream(Arrays.copyOfRange(bytes, from, bytes.length))).readLong();
     }
 
-    private static long sum(byte[] bytes, int length) {
+    private static long checksum(byte[] bytes, int length) {
         CRC32 crc = new CRC32();
         crc.update(bytes, 0, length);
         return crc.getValue();
--- a/src/test/java/caperrudder/server/handover/HandoverFilesGoldenTest.java
+++ b/src/test/java/caperrudder/server/handover/HandoverFilesGoldenTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.Snapshot;
@@ -17,6 +17,7 @@
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -71,13 +72,13 @@
     void goldenClaimsAreReadAndWrittenAlike() throws IOException {
         assertEquals("1 4711 false\n", new String(GoldenFiles.bytes(STARTING_FILE), StandardCharsets.US_ASCII));
         place(CLAIM_NAME, GoldenFiles.bytes(STARTING_FILE));
-        assertEquals(STARTING, files.claim());
-        files.write(STARTING);
+        assertEquals(Optional.of(STARTING), files.readClaim());
+        files.writeClaim(STARTING);
         assertArrayEquals(GoldenFiles.bytes(STARTING_FILE), written(CLAIM_NAME));
 
         place(CLAIM_NAME, GoldenFiles.bytes(SERVING_FILE));
-        assertEquals(SERVING, files.claim());
-        files.write(SERVING);
+        assertEquals(Optional.of(SERVING), files.readClaim());
+        files.writeClaim(SERVING);
         assertArrayEquals(GoldenFiles.bytes(SERVING_FILE), written(CLAIM_NAME));
         assertEquals(List.of(CLAIM_NAME), names());
     }
@@ -106,27 +107,27 @@
             })
     void whatIsNoClaimCountsAsAbsent(String text) throws IOException {
         placeClaim(text);
-        assertNull(files.claim());
+        assertTrue(files.readClaim().isEmpty());
     }
 
     @Test
     void aMissingFileCountsAsAbsent() {
-        assertNull(files.claim());
-        assertNull(files.books());
+        assertTrue(files.readClaim().isEmpty());
+        assertTrue(files.readSnapshot().isEmpty());
     }
 
     @Test
     void aClaimLongerThanAnyIsNotRead() throws IOException {
         placeClaim("1 4711 true\n" + " ".repeat(CLAIM_BYTES));
-        assertNull(files.claim());
+        assertTrue(files.readClaim().isEmpty());
     }
 
     @Test
     void theGoldenSnapshotIsReadAndWrittenAlike() throws IOException {
         place(SNAPSHOT_NAME, GoldenFiles.bytes(SnapshotGoldenTest.FILE));
-        assertEquals(SnapshotGoldenTest.SNAPSHOT, files.books());
+        assertEquals(Optional.of(SnapshotGoldenTest.SNAPSHOT), files.readSnapshot());
         Files.delete(folder.resolve(SNAPSHOT_NAME));
-        files.write(SnapshotGoldenTest.SNAPSHOT);
+        files.writeSnapshot(SnapshotGoldenTest.SNAPSHOT);
         assertArrayEquals(GoldenFiles.bytes(SnapshotGoldenTest.FILE), written(SNAPSHOT_NAME));
         assertEquals(List.of(SNAPSHOT_NAME), names());
     }
@@ -135,7 +136,7 @@
     void aTornSnapshotCountsAsAbsent() throws IOException {
         byte[] golden = GoldenFiles.bytes(SnapshotGoldenTest.FILE);
         place(SNAPSHOT_NAME, Arrays.copyOf(golden, golden.length - 1));
-        assertNull(files.books());
+        assertTrue(files.readSnapshot().isEmpty());
     }
 
     /** The last one that was written stays. */
@@ -147,17 +148,17 @@
         HealthSnapshot entry = new HealthSnapshot("host-67890", "", 1, 2, 3);
         Snapshot largest = new Snapshot(1, 2, List.of(), Collections.nCopies(room, entry), List.of());
         Snapshot larger = new Snapshot(1, 2, List.of(), Collections.nCopies(room + 1, entry), List.of());
-        files.write(largest);
+        files.writeSnapshot(largest);
         assertEquals(head + room * health, written(SNAPSHOT_NAME).length);
-        files.write(larger);
-        assertEquals(largest, files.books());
+        files.writeSnapshot(larger);
+        assertEquals(Optional.of(largest), files.readSnapshot());
     }
 
     @Test
     void aSnapshotBeyondTheLargestSizeIsNotRead() throws IOException {
         byte[] bytes = new byte[SNAPSHOT_BYTES + 1];
         place(SNAPSHOT_NAME, bytes);
-        assertNull(files.books());
+        assertTrue(files.readSnapshot().isEmpty());
     }
 
     /** Each is written beside its place, under a name of the writing process, and renamed. */
@@ -165,45 +166,45 @@
     void filesAreWrittenBesideTheirPlacesUnderNamesOfTheirProcess() throws IOException {
         Path claimBeside = Files.createDirectory(folder.resolve(CLAIM_NAME + "." + OWN_PROCESS));
         Path snapshotBeside = Files.createDirectory(folder.resolve(SNAPSHOT_NAME + "." + OWN_PROCESS));
-        assertThrows(IOException.class, () -> files.write(STARTING));
-        assertThrows(IOException.class, () -> files.write(SnapshotGoldenTest.SNAPSHOT));
+        assertThrows(IOException.class, () -> files.writeClaim(STARTING));
+        assertThrows(IOException.class, () -> files.writeSnapshot(SnapshotGoldenTest.SNAPSHOT));
         Files.delete(claimBeside);
         Files.delete(snapshotBeside);
-        files.write(STARTING);
-        files.write(SnapshotGoldenTest.SNAPSHOT);
+        files.writeClaim(STARTING);
+        files.writeSnapshot(SnapshotGoldenTest.SNAPSHOT);
         assertEquals(List.of(SNAPSHOT_NAME, CLAIM_NAME), names());
     }
 
     /** Of a process that starts alone: first its claim as one that starts, then as one that serves, and no snapshot. */
     @Test
     void aProcessClaimsItsGatewayAsItStartsAndAsItServes() throws Exception {
-        ProcessHandover succession = new ProcessHandover(
-                new ProcessHandover.Party() {
+        ProcessHandover handover = new ProcessHandover(
+                new SnapshotExchange() {
                     @Override
-                    public Snapshot books() {
+                    public Snapshot takeSnapshot() {
                         return SnapshotGoldenTest.SNAPSHOT;
                     }
 
                     @Override
-                    public void inherit(Snapshot books) {
+                    public void restoreSnapshot(Snapshot snapshot) {
                         throw new AssertionError("there is no other process");
                     }
 
                     @Override
-                    public void beside(boolean other) {
+                    public void runsBesideAnother(boolean other) {
                         // told at each beat
                     }
                 },
                 folder.toString(),
                 new Clock());
         try {
-            succession.begin();
+            handover.begin();
             assertEquals("1 " + OWN_PROCESS + " false\n", Files.readString(folder.resolve(CLAIM_NAME)));
-            succession.serving();
+            handover.startServing();
             assertEquals("1 " + OWN_PROCESS + " true\n", Files.readString(folder.resolve(CLAIM_NAME)));
             assertEquals(List.of(CLAIM_NAME), names());
         } finally {
-            succession.end();
+            handover.end();
         }
     }
 }
--- a/src/test/java/caperrudder/server/handover/SnapshotGoldenTest.java
+++ b/src/test/java/caperrudder/server/handover/SnapshotGoldenTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.HealthSnapshot;
@@ -70,20 +70,20 @@
     }
 
     @Test
-    void theGoldenSnapshotIsDecodedToItsFieldsAndEncodedToItsBytes() {
+    void theGoldenSnapshotIsDecodedToItsFieldsAndEncodedToItsBytes() throws Exception {
         byte[] golden = GoldenFiles.bytes(FILE);
-        assertEquals(SNAPSHOT, SnapshotCodec.read(golden));
-        assertArrayEquals(golden, SnapshotCodec.write(SNAPSHOT));
+        assertEquals(SNAPSHOT, SnapshotCodec.decode(golden));
+        assertArrayEquals(golden, SnapshotCodec.encode(SNAPSHOT));
         assertArrayEquals(golden, sealed(golden), "checksum and what it covers");
         assertEquals(VERSION, ByteBuffer.wrap(golden).getInt());
         assertEquals(3, ByteBuffer.wrap(golden).getInt(CUSTOMERS_AT));
     }
 
     @Test
-    void theGoldenSnapshotOfAnIdleGatewayIsDecodedAndEncodedAlike() {
+    void theGoldenSnapshotOfAnIdleGatewayIsDecodedAndEncodedAlike() throws Exception {
         byte[] golden = GoldenFiles.bytes(EMPTY_FILE);
-        assertEquals(EMPTY, SnapshotCodec.read(golden));
-        assertArrayEquals(golden, SnapshotCodec.write(EMPTY));
+        assertEquals(EMPTY, SnapshotCodec.decode(golden));
+        assertArrayEquals(golden, SnapshotCodec.encode(EMPTY));
         assertEquals(40, golden.length);
     }
 
@@ -92,7 +92,7 @@
         byte[] golden = GoldenFiles.bytes(FILE);
         for (int length = 0; length < golden.length; length++) {
             byte[] torn = Arrays.copyOf(golden, length);
-            assertNull(SnapshotCodec.read(torn), "first " + length + " bytes");
+            assertThrows(SnapshotFormatException.class, () -> SnapshotCodec.decode(torn), "first " + length + " bytes");
         }
     }
 
@@ -102,7 +102,7 @@
         for (int bit = 0; bit < golden.length * Byte.SIZE; bit++) {
             byte[] damaged = golden.clone();
             damaged[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
-            assertNull(SnapshotCodec.read(damaged), "bit " + bit);
+            assertThrows(SnapshotFormatException.class, () -> SnapshotCodec.decode(damaged), "bit " + bit);
         }
     }
 
@@ -111,7 +111,10 @@
         for (int version : new int[] {0, 1, VERSION - 1, VERSION + 1, 0xCA9E0100, -1}) {
             byte[] other = GoldenFiles.bytes(FILE);
             ByteBuffer.wrap(other).putInt(version);
-            assertNull(SnapshotCodec.read(sealed(other)), "version " + Integer.toHexString(version));
+            assertThrows(
+                    SnapshotFormatException.class,
+                    () -> SnapshotCodec.decode(sealed(other)),
+                    "version " + Integer.toHexString(version));
         }
     }
 
@@ -120,16 +123,17 @@
         for (int count : new int[] {4, 100, Integer.MAX_VALUE}) {
             byte[] other = GoldenFiles.bytes(FILE);
             ByteBuffer.wrap(other).putInt(CUSTOMERS_AT, count);
-            assertNull(SnapshotCodec.read(sealed(other)), count + " customers");
+            assertThrows(
+                    SnapshotFormatException.class, () -> SnapshotCodec.decode(sealed(other)), count + " customers");
         }
     }
 
     /** The reader stops at its last entry: a version that adds a part at the end is still understood. */
     @Test
-    void bytesBetweenTheEntriesAndTheChecksumAreIgnored() {
+    void bytesBetweenTheEntriesAndTheChecksumAreIgnored() throws Exception {
         byte[] golden = GoldenFiles.bytes(FILE);
         byte[] longer = sealed(Arrays.copyOf(golden, golden.length + 5));
-        assertNotNull(SnapshotCodec.read(longer));
-        assertEquals(SNAPSHOT, SnapshotCodec.read(longer));
+        assertNotNull(SnapshotCodec.decode(longer));
+        assertEquals(SNAPSHOT, SnapshotCodec.decode(longer));
     }
 }
