--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -1,11 +1,13 @@
 package caperrudder.policy;
 
 import caperrudder.api.Request;
+import caperrudder.policy.scheduling.Schedulable;
+import caperrudder.policy.scheduling.TrafficClass;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A request held or under way. */
-final class PendingRequest {
+final class PendingRequest implements Schedulable {
     final Request request;
     final TrafficClass cls;
     final CustomerQuota customer;
@@ -31,9 +33,14 @@
         this.arriving = request.bodyPending();
     }
 
-    /** Time that the class's requests of this size have been taking. */
-    double work() {
-        return cls.latencyPerUnit * Math.max(request.units(), 0.1);
+    @Override
+    public TrafficClass trafficClass() {
+        return cls;
+    }
+
+    @Override
+    public double expectedWorkMs() {
+        return cls.latency().expectedMs(request.units());
     }
 
     /** The first attempt not known never to have run, or null. */
--- a/src/main/java/caperrudder/policy/SnapshotTransfer.java
+++ b/src/main/java/caperrudder/policy/SnapshotTransfer.java
@@ -1,9 +1,9 @@
 package caperrudder.policy;
 
-import caperrudder.api.ClassSnapshot;
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Snapshot;
+import caperrudder.policy.scheduling.TrafficClasses;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -16,9 +16,9 @@
 
     private final Map<Long, CustomerQuota> customers;
     private final EndpointTable hosts;
-    private final Map<String, TrafficClass> classes;
+    private final TrafficClasses classes;
 
-    SnapshotTransfer(Map<Long, CustomerQuota> customers, EndpointTable hosts, Map<String, TrafficClass> classes) {
+    SnapshotTransfer(Map<Long, CustomerQuota> customers, EndpointTable hosts, TrafficClasses classes) {
         this.customers = customers;
         this.hosts = hosts;
         this.classes = classes;
@@ -28,7 +28,7 @@
     Snapshot write(double now, double attemptsPerHost, Consumer<CustomerQuota> refill) {
         List<HealthSnapshot> health = new ArrayList<>();
         hosts.unsettled().stream().filter(s -> s.isListed()).forEach(s -> s.takeSnapshot(health));
-        return new Snapshot(now, attemptsPerHost, writeCustomers(refill), health, writeClasses());
+        return new Snapshot(now, attemptsPerHost, writeCustomers(refill), health, classes.snapshot());
     }
 
     private List<QuotaSnapshot> writeCustomers(Consumer<CustomerQuota> refill) {
@@ -53,13 +53,6 @@
                 .toList();
     }
 
-    private List<ClassSnapshot> writeClasses() {
-        return classes.values().stream()
-                .map(c -> new ClassSnapshot(
-                        c.spec.name(), c.weight, c.latencyPerUnit, c.base, c.samples, c.delay, c.slope))
-                .toList();
-    }
-
     /** What both processes count from a full bucket is in the other's snapshot alone: what was spent here goes off. */
     static void readCustomer(double now, CustomerQuota c, QuotaSnapshot b, double spent) {
         c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), b.sharedLevel()) - spent);
@@ -78,24 +71,9 @@
     void readHealth(double now, List<HealthSnapshot> health) {
         for (HealthSnapshot b : health) {
             Endpoint s = hosts.find(b.host());
-            if (s == null || !b.requestClass().isEmpty() && !classes.containsKey(b.requestClass())) continue;
+            if (s == null || !b.requestClass().isEmpty() && classes.find(b.requestClass()) == null) continue;
             s.scores().of(b.requestClass()).restore(b, now);
             hosts.unsettled().add(s);
         }
     }
-
-    /** Weights hold for all classes or for none. */
-    void readClasses(List<ClassSnapshot> books) {
-        List<String> named = books.stream().map(ClassSnapshot::name).toList();
-        if (!named.equals(List.copyOf(classes.keySet()))) return;
-        for (ClassSnapshot b : books) {
-            TrafficClass c = classes.get(b.name());
-            c.weight = b.weight();
-            c.latencyPerUnit = b.latencyPerUnit();
-            c.base = b.baseLatencyPerUnit();
-            c.samples = b.samples();
-            c.delay = b.delay();
-            c.slope = b.slope();
-        }
-    }
 }
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -15,6 +15,13 @@
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
 import caperrudder.api.Snapshot;
+import caperrudder.policy.scheduling.ConcurrencyLimit;
+import caperrudder.policy.scheduling.Dispatcher;
+import caperrudder.policy.scheduling.FairScheduler;
+import caperrudder.policy.scheduling.OverdueShare;
+import caperrudder.policy.scheduling.TrafficClass;
+import caperrudder.policy.scheduling.TrafficClasses;
+import caperrudder.policy.scheduling.WeightController;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
@@ -60,36 +67,11 @@
     private static final double SILENT_MS = 1000; // a peer that missed an answer is not asked so long
     private static final double SYNC_MS = 300; // how often a keeper tells the other keeper of a customer
     private static final double OWNER_SHARE = 0.5; // of a ceiling, held by the first keeper; the rest evenly
-    // Release
-    private static final double CHANCE = 0.7; // places beyond the even ones, in roots of them: for bursts
-    private static final double BOUND_START = 6; // attempts out a host at first, by all gateways
-    private static final double BOUND_MIN = 3; // never fewer by all gateways, or cores would idle
-    private static final double BOUND_MAX = 128; // by all gateways: beyond this no host gains
-    private static final double BOUND_UP = 1.15; // growth a beat while requests wait on fast hosts
-    private static final double BOUND_DOWN = 0.85; // cut a beat while latency is stretched
-    private static final double BOUND_BEAT_MS = 250; // how often the bound moves
-    private static final int BOUND_ANSWERS = 8; // answers to move it by, or so many beats
-    private static final double BASE_DRIFT = 1.002; // growth a beat, so that a lasting change is accepted
-    private static final int BASE_SAMPLES = 20; // answers before the base is held
-    private static final double STRETCHED = 1.7; // latency over its base that counts as queueing at the hosts
-    private static final double AIM_USED = 0.1; // below this share of the aim latency does no harm
+    // Waiting requests
     private static final double LATE_WORTH_KEPT = 0.5; // late worth from which a late answer merits a place
     private static final double FINISH_SHARE = 3; // expected times a held request must still have
     private static final double HOLD_SHARE = 0.1; // share of the aim for which any request may be held
-    private static final double AIM_LOST = 0.5; // mean share of the aim that is queueing for sure
-    private static final double GAP_GAIN = 0.1; // weight of one release in the mean gap of releases
-    private static final double FIRST_GUESS = 0.2; // of the aim: the largest request, before any answer
     private static final int SCAN = 16; // held requests passed over for want of a legal host, a turn
-    // Weights: the paper's alpha, beta, epsilon
-    private static final double ALPHA = 0.7; // weight of the old delay average
-    private static final double BETA = 0.5; // share of a computed donation that is committed
-    private static final double EPSILON = 0.1; // half-width of the band in which a class is content
-    private static final double DELAY_GOAL = 0.6; // share of the aim that a class's mean delay may take
-    private static final double WEIGHT_TICK_MS = 500; // delay averaging beat
-    private static final double WEIGHT_GAP_MS = 1000; // first interval between donations; doubles after one
-    private static final double WEIGHT_GAP_MAX_MS = 8000; // longest such interval
-    private static final double WEIGHT_STEP = 0.05; // first step, before a slope is known, of all weight
-    private static final double WEIGHT_MIN = 0.02; // least weight, as share of all
     // Hosts
     private static final double SLOW_GAIN = 0.12; // weight of one answer in a host's slowness
     private static final double FAILED_GAIN = 0.4; // weight of a failure or of an overdue attempt
@@ -117,7 +99,10 @@
     private static final double UNSENT_SHARE = 0.4; // of its time: then what never left is decided
 
     private final PolicyActions act;
-    private final Map<String, TrafficClass> classes = new LinkedHashMap<>();
+    private TrafficClasses classes = TrafficClasses.NONE; // until started
+    private ConcurrencyLimit limit;
+    private FairScheduler<PendingRequest, Endpoint> scheduler;
+    private WeightController weights;
     private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
     private final Map<Integer, AdmissionOdds> firstOdds = new HashMap<>();
     private final Map<Integer, AdmissionOdds> retryOdds = new HashMap<>();
@@ -132,17 +117,12 @@
     private Settings set;
     private Random random;
     private GossipOutbox outbox;
-    private double startedAt, beatAt, stalled, boundAt, sweptAt, delayAt, donateAt, surveyedAt;
-    private double donateGap = WEIGHT_GAP_MS;
-    private boolean waited;
-    private int inFlight, answers, timeOuts;
-    private double perHost = BOUND_START;
+    private double startedAt, beatAt, stalled, sweptAt, surveyedAt;
     double capacity;
-    private double lost, turn; // lost: what cold and bad hosts can't do of it, as last counted
+    private double lost; // what cold and bad hosts can't do of it, as last counted
     private double crowd; // requests that a warm host holds on the mean of all reports
     private final OverdueShare lateness = new OverdueShare();
     private double retryTokens = RETRY_MAX / 2;
-    private double latencySum, baseSum, aimShareSum;
 
     public TrafficPolicy(PolicyActions act) {
         this.act = act;
@@ -157,19 +137,13 @@
         Arrays.setAll(peers, PeerState::new);
         outbox = new GossipOutbox(now, peers.length, settings.sharing().peerMessagesPerSecond(), act);
         table = new EndpointTable(peers.length > STEADY);
-        double worth = settings.classes().stream()
-                .mapToDouble(c -> Math.max(WEIGHT_MIN, c.priorityWeight()))
-                .sum();
-        for (RequestClass c : settings.classes()) {
-            TrafficClass state = new TrafficClass(c);
-            state.weight = Math.max(WEIGHT_MIN, c.priorityWeight()) / worth;
-            state.latencyPerUnit = state.base =
-                    c.latencyObjectiveMs() * FIRST_GUESS / settings.sharing().maxUnits();
-            classes.put(c.name(), state);
-        }
+        classes = new TrafficClasses(settings);
+        limit = new ConcurrencyLimit(now, peers.length, classes.all());
+        scheduler = new FairScheduler<>(classes.all(), limit, new AttemptDispatcher());
+        weights = new WeightController(now, classes.all(), limit);
         for (int i = 0; i < settings.plans().size(); i++)
             planNumbers.put(settings.plans().get(i).name(), i);
-        beatAt = boundAt = sweptAt = delayAt = donateAt = surveyedAt = now;
+        beatAt = sweptAt = surveyedAt = now;
         if (settings.subscribesToHosts()) act.subscribeToHosts();
         act.startTimer(TICK_MS, "beat");
     }
@@ -196,7 +170,7 @@
 
     @Override
     public void requestReceived(double now, Request r) {
-        TrafficClass cls = classes.get(r.requestClass());
+        TrafficClass cls = classes.find(r.requestClass());
         if (cls == null) act.reject(r.id(), 0); // a class that the settings do not name cannot be judged
         if (cls == null) return;
         Integer plan = planNumbers.get(r.plan());
@@ -221,17 +195,15 @@
     }
 
     private void letIn(double now, PendingRequest ask) {
-        TrafficClass cls = ask.cls;
         ask.admitted = true;
         CustomerQuota c = ask.customer;
-        if (c != null) noteOpen(now, c, ask.work());
+        if (c != null) noteOpen(now, c, ask.expectedWorkMs());
         if (c != null) charge(c, ask.request.units(), ask.request.units());
-        if (cls.queue.isEmpty()) cls.turn = Math.max(cls.turn, turn);
-        cls.queue.addLast(ask);
+        scheduler.enqueue(ask);
         release(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
         boolean held = !ask.done && ask.attempts.isEmpty();
-        if (held && now + cls.queue.size() * cls.releaseGap >= giveUpAt(ask)) finish(ask);
+        if (held && now + scheduler.drainTimeMs(ask.cls) >= giveUpAt(ask)) finish(ask);
     }
 
     /**
@@ -285,7 +257,7 @@
         if (r.requestClosed()) {
             close(ask);
         } else if (!ask.done && !ask.anyOut()) {
-            if (mayTryAgain(now, ask) && r.outcome() != Outcome.NOT_SENT) ask.cls.queue.addFirst(ask);
+            if (mayTryAgain(now, ask) && r.outcome() != Outcome.NOT_SENT) scheduler.requeue(ask);
             else finish(ask);
         }
         if (ask.done && !ask.anyOut()) asks.remove(ask.request.id());
@@ -312,8 +284,8 @@
         missAnswers(now);
         if (now - surveyedAt >= SURVEY_MS) survey(now);
         watchHealth(now);
-        adaptBound(now);
-        weighClasses(now);
+        limit.adapt(now);
+        weights.update(now);
         sweep(now);
         release(now);
         post(now);
@@ -333,24 +305,25 @@
     public ClusterHealth clusterHealth(double now) {
         long bad = table.unsettled().stream()
                 .filter(s -> s.isUsable()
-                        && classes.values().stream().anyMatch(c -> s.latencyPenalty(now, c.spec.name()) >= BAD_ANSWER))
+                        && classes.all().stream()
+                                .anyMatch(c -> s.latencyPenalty(now, c.spec().name()) >= BAD_ANSWER))
                 .count();
         return new ClusterHealth(table.listed(), table.drained() + (int) bad);
     }
 
     @Override
     public Snapshot takeSnapshot(double now) {
-        return new SnapshotTransfer(customers, table, classes).write(now, perHost, c -> touch(now, c));
+        return new SnapshotTransfer(customers, table, classes).write(now, limit.perHost(), c -> touch(now, c));
     }
 
     /** Before the first request all is taken over; from then on only what the other process still uses. */
     @Override
     public void restoreSnapshot(double now, Snapshot books) {
         for (QuotaSnapshot b : books.quotas()) inherit(now, books.takenAtMs(), b);
-        if (!asks.isEmpty() || classes.values().stream().anyMatch(c -> c.samples > 0)) return;
-        perHost = Math.max(BOUND_MIN, Math.min(BOUND_MAX, books.concurrencyPerHost()));
+        if (!asks.isEmpty() || classes.haveSamples()) return;
+        limit.restore(books.concurrencyPerHost());
         new SnapshotTransfer(customers, table, classes).readHealth(now, books.health());
-        new SnapshotTransfer(customers, table, classes).readClasses(books.classes());
+        classes.restore(books.classes());
     }
 
     private void inherit(double now, double at, QuotaSnapshot b) {
@@ -513,8 +486,8 @@
     /** Whether a try is worth its odds of being beyond the quota, which the meter alone tells of. */
     private boolean oddsAdmit(double now, PendingRequest ask) {
         CustomerQuota c = ask.customer;
-        RequestClass spec = ask.cls.spec;
-        double inTime = ask.cls.times.shareWithin(spec.latencyObjectiveMs() / Math.max(1, ask.work()));
+        RequestClass spec = ask.cls.spec();
+        double inTime = ask.cls.shareWithinObjective(ask.expectedWorkMs());
         double useful = inTime + (1 - inTime) * spec.lateValue();
         return odds(ask)
                 .admits(now, ask.request.units(), useful, LATE_COST * lateness.share(), now - c.meterAt, c.meterUse);
@@ -786,51 +759,28 @@
         }
     }
 
-    /** Places for attempts out: the even ones of what hosts get fleet-wide, and some for chance bursts. */
-    private double bound() {
-        double even = perHost * Math.max(1, capacity) / peers.length;
-        return Math.max(1, even + CHANCE * Math.sqrt(even) * (1 - 1.0 / peers.length));
+    /** Dispatches what may leave now. */
+    private void release(double now) {
+        scheduler.dispatch(now, limit.slots(capacity));
     }
 
-    /** Work-conserving fair turns: the backlogged class with the earliest turn goes next. */
-    private void release(double now) {
-        double bound = bound();
-        LinkedHashSet<TrafficClass> stuck = new LinkedHashSet<>();
-        while (inFlight < bound) {
-            TrafficClass next = null;
-            for (TrafficClass c : classes.values()) {
-                boolean earlier = next == null || c.turn < next.turn;
-                if (earlier && !c.queue.isEmpty() && !stuck.contains(c)) next = c;
-            }
-            if (next == null) return;
-            if (!releaseOne(now, next)) stuck.add(next);
+    private final class AttemptDispatcher implements Dispatcher<PendingRequest, Endpoint> {
+        @Override
+        public Endpoint findDestination(double now, PendingRequest request) {
+            return pick(now, request);
         }
-        waited = true;
-    }
-
-    private boolean releaseOne(double now, TrafficClass c) {
-        for (PendingRequest ask : c.queue.stream().limit(SCAN).toList()) {
-            Endpoint s = pick(now, ask);
-            if (s == null) continue;
-            c.queue.remove(ask);
-            turn = Math.max(turn, c.turn);
-            c.turn += ask.work() / c.weight;
-            boolean goesOn = !c.queue.isEmpty();
-            if (goesOn && c.releasedAt > State.NEVER) {
-                c.releaseGap += GAP_GAIN * (now - c.releasedAt - c.releaseGap);
-            }
-            c.releasedAt = goesOn ? now : State.NEVER;
-            send(now, ask, s);
-            return true;
+
+        @Override
+        public void dispatch(double now, PendingRequest request, Endpoint endpoint) {
+            send(now, request, endpoint);
         }
-        return false;
     }
 
     private void send(double now, PendingRequest ask, Endpoint s) {
-        Attempt a = new Attempt(ask, s, now, ask.work(), stalled);
+        Attempt a = new Attempt(ask, s, now, ask.expectedWorkMs(), stalled);
         if (ask.attempts.isEmpty()) {
             retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
-            noteDelay(ask.cls, now - ask.arrived, 0);
+            ask.cls.noteHold(now - ask.arrived);
             if (ask.customer != null) ask.customer.unsent -= ask.request.units();
         }
         ask.attempts.add(a);
@@ -847,13 +797,13 @@
         a.stalled = stalled;
         a.server.startAttempt(a.work);
         atWork.computeIfAbsent(a.server, s -> new LinkedHashSet<>(4)).add(a);
-        inFlight++;
+        limit.acquire();
     }
 
     private void vacate(Attempt a) {
         if (!a.placed) return;
         a.placed = false;
-        inFlight--;
+        limit.release();
         a.server.finishAttempt(a.work);
         atWork.get(a.server).remove(a);
         if (a.server.isIdle()) atWork.remove(a.server);
@@ -866,17 +816,16 @@
         // What reached no host by half of the client's time has cost it that time for nothing.
         double time = ask.deadline - ask.arrived;
         if (!ask.leftWhole()) end = Math.min(end, ask.arrived + UNSENT_SHARE * time);
-        double aim = ask.cls.spec.latencyObjectiveMs();
-        double useful = ask.cls.spec.lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrived + aim);
-        double hold = useful - ask.arrived - FINISH_SHARE * ask.work();
+        double aim = ask.cls.spec().latencyObjectiveMs();
+        double useful = ask.cls.spec().lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrived + aim);
+        double hold = useful - ask.arrived - FINISH_SHARE * ask.expectedWorkMs();
         return Math.min(end, ask.arrived + Math.max(HOLD_SHARE * aim, hold));
     }
 
     private void expire(double now) {
-        for (TrafficClass c : classes.values()) {
-            for (PendingRequest ask :
-                    c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
-                noteDelay(c, now - ask.arrived, 0);
+        for (TrafficClass c : classes.all()) {
+            for (PendingRequest ask : scheduler.waiting(c, a -> now >= giveUpAt(a))) {
+                c.noteHold(now - ask.arrived);
                 finish(ask); // takes it from the queue
             }
         }
@@ -884,7 +833,7 @@
 
     /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
     private void finish(PendingRequest ask) {
-        RequestClass spec = ask.cls.spec;
+        RequestClass spec = ask.cls.spec();
         if (ask.admitted && !ask.done) lateness.note(true);
         boolean harmless = ask.ran() == null
                 || spec.idempotency() == Idempotency.IDEMPOTENT
@@ -892,7 +841,7 @@
                         && spec.deduplicationScope() == DeduplicationScope.ALL;
         close(ask);
         // A place may be had once what is held now has left.
-        if (harmless) act.reject(ask.request.id(), waitTold(ask.cls.queue.size() * ask.cls.releaseGap));
+        if (harmless) act.reject(ask.request.id(), waitTold(scheduler.drainTimeMs(ask.cls)));
         else act.fail(ask.request.id());
     }
 
@@ -900,7 +849,7 @@
         if (!ask.anyOut()) asks.remove(ask.request.id());
         if (ask.done) return;
         ask.done = true;
-        ask.cls.queue.remove(ask);
+        scheduler.remove(ask);
         CustomerQuota c = ask.customer;
         if (c == null) return;
         c.pending.remove(ask);
@@ -911,98 +860,6 @@
         }
     }
 
-    private void adaptBound(double now) {
-        if (now - boundAt < BOUND_BEAT_MS) return;
-        // Few answers say nothing of the hosts: one in five takes twice its time on idle ones.
-        int ends = answers + timeOuts;
-        if (ends > 0 && ends < BOUND_ANSWERS && now - boundAt < BOUND_ANSWERS * BOUND_BEAT_MS) return;
-        boundAt = now;
-        if (ends > 0) {
-            // A few attempts that the network swallowed say nothing of queues, however long they took.
-            boolean stretched = latencySum > STRETCHED * baseSum && aimShareSum > AIM_USED * answers
-                    || aimShareSum > AIM_LOST * answers
-                    || timeOuts > answers;
-            if (stretched) perHost = Math.max(BOUND_MIN, perHost * BOUND_DOWN);
-            else if (waited) perHost = Math.min(BOUND_MAX, perHost * BOUND_UP);
-        }
-        latencySum = baseSum = aimShareSum = 0;
-        answers = timeOuts = 0;
-        for (TrafficClass c : classes.values()) {
-            double base = c.samples < BASE_SAMPLES ? c.latencyPerUnit : c.base * BASE_DRIFT;
-            c.base = Math.min(base, c.latencyPerUnit);
-        }
-    }
-
-    // ---- weights by donation
-
-    static double goal(TrafficClass c) {
-        return c.spec.latencyObjectiveMs() * DELAY_GOAL;
-    }
-
-    private static void noteDelay(TrafficClass c, double hold, double latency) {
-        c.tickDelay += hold + latency;
-        c.tickCount += latency > 0 ? 0 : 1;
-    }
-
-    private void weighClasses(double now) {
-        if (now - delayAt < WEIGHT_TICK_MS) return;
-        delayAt = now;
-        for (TrafficClass c : classes.values()) {
-            if (c.tickCount > 0) {
-                double mean = c.tickDelay / c.tickCount;
-                c.delay = c.delay == 0 ? mean : ALPHA * c.delay + (1 - ALPHA) * mean;
-            }
-            c.tickDelay = 0;
-            c.tickCount = 0;
-        }
-        if (now - donateAt < donateGap) return;
-        donateAt = now;
-        if (waited) classes.values().forEach(TrafficPolicy::measureSlope);
-        boolean gave = waited && donate(new ArrayList<>(classes.values()));
-        donateGap = gave ? Math.min(WEIGHT_GAP_MAX_MS, donateGap * 2) : WEIGHT_GAP_MS;
-        waited = false;
-    }
-
-    /** Slopes are negative; a near-nought or wrongly signed one leaves the last good magnitude in place. */
-    static void measureSlope(TrafficClass c) {
-        double moved = c.weight - c.markWeight;
-        if (c.markWeight > 0 && Math.abs(moved) > 1e-6) {
-            double magnitude = -(c.delay - c.markDelay) / moved;
-            if (magnitude > goal(c) * EPSILON) c.slope = magnitude;
-        }
-        c.markWeight = c.weight;
-        c.markDelay = c.delay;
-    }
-
-    /** The worst underweight class asks, overweight ones give by surplus, clamped; the sum stays. */
-    static boolean donate(List<TrafficClass> all) {
-        TrafficClass worst = null;
-        double surplus = 0;
-        for (TrafficClass c : all) {
-            double over = c.delay / goal(c);
-            if (over >= 1 + EPSILON && (worst == null || over > worst.delay / goal(worst))) worst = c;
-            surplus += surplus(c);
-        }
-        if (worst == null || surplus <= 0) return false; // all content, or all underweight: weights freeze
-        double ask = worst.slope > 0 ? (worst.delay - goal(worst)) / worst.slope : WEIGHT_STEP;
-        double moved = 0;
-        for (TrafficClass c : all) {
-            if (surplus(c) <= 0) continue;
-            double clamp = c.slope > 0 ? ((1 - EPSILON) * goal(c) - c.delay) / c.slope : WEIGHT_STEP;
-            double gift = BETA * Math.min(ask * surplus(c) / surplus, clamp);
-            gift = Math.max(0, Math.min(gift, c.weight - WEIGHT_MIN));
-            c.weight -= gift;
-            moved += gift;
-        }
-        worst.weight += moved;
-        return moved > 0;
-    }
-
-    private static double surplus(TrafficClass c) {
-        if (c.delay > (1 - EPSILON) * goal(c)) return 0;
-        return (goal(c) - c.delay) / (c.slope > 0 ? c.slope : goal(c));
-    }
-
     // ---- hosts
 
     private double rampOf(Endpoint s, double now) {
@@ -1047,7 +904,7 @@
      * attempts out can tell apart, and where that is all of them, all.
      */
     private Endpoint pick(double now, PendingRequest ask) {
-        int draws = Math.min(homes.size(), DRAWS + 2 * inFlight);
+        int draws = Math.min(homes.size(), DRAWS + 2 * limit.inUse());
         Endpoint best = best(now, ask, ownCounts() ? homes : drawn(now, ask.cls, draws), false);
         boolean warm = coldest == null || rampOf(coldest, now) >= 1;
         if (warm) random.nextDouble(); // the draw that no cold host would win
@@ -1061,10 +918,10 @@
 
     /** All hosts; of very many some from a drawn one on, among those that an unsure attempt's key allows. */
     private List<Endpoint> others(PendingRequest ask) {
-        boolean keyed = table.openCount() > COMPARED && ask.cls.spec.idempotency() == Idempotency.IDEMPOTENCY_KEY;
+        boolean keyed = table.openCount() > COMPARED && ask.cls.spec().idempotency() == Idempotency.IDEMPOTENCY_KEY;
         Host ran = keyed && ask.ran() != null ? ask.ran().server.host() : null;
-        Collection<RankedEndpoints> legal =
-                table.open(ran, ran == null ? DeduplicationScope.ALL : ask.cls.spec.deduplicationScope());
+        Collection<RankedEndpoints> legal = table.open(
+                ran, ran == null ? DeduplicationScope.ALL : ask.cls.spec().deduplicationScope());
         int count = legal.stream().mapToInt(RankedEndpoints::size).sum();
         int from = count > COMPARED ? random.nextInt(count) : 0;
         return EndpointTable.round(legal, from, Math.min(COMPARED, count));
@@ -1096,7 +953,11 @@
     }
 
     private double able(double now, Endpoint s, TrafficClass c) {
-        return s.isUsable() ? lean(now, s) * rampOf(s, now) / Math.max(1, s.latencyPenalty(now, c.spec.name())) : 0;
+        return s.isUsable()
+                ? lean(now, s)
+                        * rampOf(s, now)
+                        / Math.max(1, s.latencyPenalty(now, c.spec().name()))
+                : 0;
     }
 
     /**
@@ -1116,14 +977,14 @@
     }
 
     private boolean ownCounts() {
-        return DRAWS + 2 * inFlight >= homes.size();
+        return DRAWS + 2 * limit.inUse() >= homes.size();
     }
 
     private Collection<Endpoint> drawn(double now, TrafficClass c, int draws) {
         LinkedHashSet<Endpoint> drawn = new LinkedHashSet<>();
         for (int i = 0; i < draws * SCAN && drawn.size() < draws; i++) {
             Endpoint s = homes.get(random.nextInt(homes.size()));
-            if (random.nextDouble() * s.latencyPenalty(now, c.spec.name()) <= 1) drawn.add(s);
+            if (random.nextDouble() * s.latencyPenalty(now, c.spec().name()) <= 1) drawn.add(s);
         }
         return drawn;
     }
@@ -1144,26 +1005,26 @@
     }
 
     private double score(double now, PendingRequest ask, Endpoint s) {
-        double doubt = s.latencyPenalty(now, ask.cls.spec.name());
+        double doubt = s.latencyPenalty(now, ask.cls.spec().name());
         if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
         for (Attempt a : ask.attempts) {
             if (a.server == s) doubt *= BAD_ANSWER;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !ownCounts() || s.host().zone().equals(set.zone()) ? 0 : ZONE_COST * ask.work();
-        return (ask.work() + s.outstandingWorkMs()) * doubt / rampOf(s, now) + zone;
+        double zone = !ownCounts() || s.host().zone().equals(set.zone()) ? 0 : ZONE_COST * ask.expectedWorkMs();
+        return (ask.expectedWorkMs() + s.outstandingWorkMs()) * doubt / rampOf(s, now) + zone;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
     private boolean legal(double now, PendingRequest ask, Attempt ran, Endpoint s) {
         return repeatable(now, ask, ran)
                 && (ran == null
-                        || ask.cls.spec.idempotency() != Idempotency.IDEMPOTENCY_KEY
-                        || ask.cls.spec.deduplicationScope().isSharedBy(s.host(), ran.server.host()));
+                        || ask.cls.spec().idempotency() != Idempotency.IDEMPOTENCY_KEY
+                        || ask.cls.spec().deduplicationScope().isSharedBy(s.host(), ran.server.host()));
     }
 
     private boolean repeatable(double now, PendingRequest ask, Attempt ran) {
-        RequestClass spec = ask.cls.spec;
+        RequestClass spec = ask.cls.spec();
         double arrives = now + set.limits().connectTimeoutMs(); // at the latest, on a new connection
         return ran == null
                 || spec.idempotency() == Idempotency.IDEMPOTENT
@@ -1188,17 +1049,13 @@
         switch (r.outcome()) {
             case OK -> {
                 s.scores().overall().record(r.latencyMs() / Math.max(1, a.work), SLOW_GAIN, now);
-                OutlierScore ofClass = s.scores().of(c.spec.name());
+                OutlierScore ofClass = s.scores().of(c.spec().name());
                 ofClass.record(1, SLOW_GAIN, now);
                 s.scores().overall().clearFailures();
                 // A host that fails most requests at once serves some: one good answer clears it of nothing.
                 if (ofClass.latencyPenalty(now) < CLEARED) ofClass.clearFailures();
-                double perUnit = r.latencyMs() / Math.max(0.1, ask.request.units());
-                c.samples++;
-                c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
-                noteDelay(c, 0, r.latencyMs());
-                lateness.note(now - ask.arrived > c.spec.latencyObjectiveMs());
-                c.times.add((now - ask.arrived) / Math.max(1, ask.work()));
+                c.noteServed(r.latencyMs(), now - ask.arrived, ask.request.units());
+                lateness.note(now - ask.arrived > c.spec().latencyObjectiveMs());
                 if (ask.customer != null && set.sharing().postPaid() && r.trueUnits() > 0) {
                     charge(ask.customer, r.trueUnits() - ask.request.units(), 0);
                 }
@@ -1207,10 +1064,10 @@
             case CONNECT_FAILED -> s.scores().overall().recordFailure(1, now);
             case REJECTED -> s.scores().overall().record(BAD_ANSWER, FAILED_GAIN, now);
             case ERROR, RESET, TIMEOUT -> {
-                s.scores().of(c.spec.name()).recordFailure(FAILED_GAIN, now);
+                s.scores().of(c.spec().name()).recordFailure(FAILED_GAIN, now);
                 // Among many gateways each meets a host too seldom to convict it class by class.
-                boolean several = classes.values().stream()
-                                .filter(k -> s.scores().of(k.spec.name()).hasFailures())
+                boolean several = classes.all().stream()
+                                .filter(k -> s.scores().of(k.spec().name()).hasFailures())
                                 .count()
                         > 1;
                 if (several) s.scores().overall().record(OutlierScore.MAX_PENALTY, FAILED_GAIN, now);
@@ -1218,12 +1075,10 @@
             default -> {}
         }
         noteLoad(now, s, r.loadReport());
-        if (r.outcome() == Outcome.TIMEOUT) timeOuts++;
+        if (r.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
         if (r.outcome() == Outcome.OK) {
-            latencySum += r.latencyMs();
-            baseSum += c.base * ask.request.units();
-            aimShareSum += r.latencyMs() / c.spec.latencyObjectiveMs();
-            answers++;
+            double baseMs = c.latency().baseMs(ask.request.units());
+            limit.noteResponse(r.latencyMs(), baseMs, c.spec().latencyObjectiveMs());
         }
         if (ask.customer != null) meter(now, ask, r.quotaUsedPercent());
     }
@@ -1235,9 +1090,9 @@
                 double waited = now - a.sentAt - (stalled - a.stalled);
                 if (a.overdue || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
                 a.overdue = true;
-                s.scores().of(a.ask.cls.spec.name()).recordFailure(FAILED_GAIN, now);
+                s.scores().of(a.ask.cls.spec().name()).recordFailure(FAILED_GAIN, now);
                 boolean useful = !a.ask.done && !a.ask.streaming && now + a.work < giveUpAt(a.ask);
-                boolean safe = a.ask.cls.spec.idempotency() != Idempotency.NOT_IDEMPOTENT
+                boolean safe = a.ask.cls.spec().idempotency() != Idempotency.NOT_IDEMPOTENT
                         && set.limits().cancellation();
                 if (useful && safe && retryTokens >= 1) act.cancelAttempt(a.ask.request.id(), a.number);
             }
--- a/src/test/java/caperrudder/policy/DecisionsTest.java
+++ b/src/test/java/caperrudder/policy/DecisionsTest.java
@@ -7,7 +7,6 @@
 import caperrudder.api.HostState;
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
-import caperrudder.api.RequestClass;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,18 +22,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Release, weights, host health, determinism and the module's size. */
+/** Release, host health, determinism and the module's size. */
 class DecisionsTest {
     private static final int FILE_LINES = 1200; // not blank, of the longest file
 
-    private static TrafficClass state(RequestClass spec, double weight, double delay, double slope) {
-        TrafficClass c = new TrafficClass(spec);
-        c.weight = weight;
-        c.delay = delay;
-        c.slope = slope;
-        return c;
-    }
-
     private static void askLate(FakeGateway g, String id, double waited, int spread, long customer) {
         g.brain.requestReceived(
                 g.now,
@@ -72,51 +63,6 @@
         assertEquals(1, g.sends("asks") + g.answers("asks"));
     }
 
-    @Test
-    void donationKeepsTheSumAndFavoursTheWorst() {
-        TrafficClass slow = state(FakeGateway.READ, 0.3, 1500, 2000);
-        TrafficClass easy = state(FakeGateway.PAY, 0.4, 100, 2000);
-        TrafficClass idle = state(FakeGateway.ORDER, 0.3, 300, 2000);
-        assertTrue(TrafficPolicy.donate(List.of(slow, easy, idle)));
-        assertEquals(1, slow.weight + easy.weight + idle.weight, 1e-9);
-        assertTrue(slow.weight > 0.3 && easy.weight < 0.4 && idle.weight < 0.3);
-        assertTrue(0.4 - easy.weight > 0.3 - idle.weight, "gives by surplus");
-    }
-
-    @Test
-    void donationIsClampedToWhatKeepsTheDonorContent() {
-        TrafficClass slow = state(FakeGateway.READ, 0.5, 60_000, 100);
-        TrafficClass donor = state(FakeGateway.PAY, 0.5, 500, 1000);
-        TrafficPolicy.donate(List.of(slow, donor));
-        double clamp = (0.9 * TrafficPolicy.goal(donor) - 500) / 1000;
-        assertTrue(donor.weight >= 0.5 - clamp && donor.weight < 0.5 && donor.weight > 0);
-    }
-
-    @Test
-    void weightsStayPositiveAndFreezeWhenAllSuffer() {
-        TrafficClass a = state(FakeGateway.READ, 0.03, 10, 0.0001);
-        TrafficClass b = state(FakeGateway.PAY, 0.97, 9000, 10);
-        TrafficPolicy.donate(List.of(a, b));
-        assertTrue(a.weight > 0);
-        TrafficClass c = state(FakeGateway.READ, 0.5, 5000, 10);
-        TrafficClass d = state(FakeGateway.PAY, 0.5, 9000, 10);
-        assertFalse(TrafficPolicy.donate(List.of(c, d)));
-        assertEquals(0.5, c.weight);
-    }
-
-    @Test
-    void aBadSlopeKeepsTheLastGoodOne() {
-        TrafficClass c = state(FakeGateway.READ, 0.5, 800, 1234);
-        c.markWeight = 0.4;
-        c.markDelay = 700; // more weight, more delay: the wrong sign
-        TrafficPolicy.measureSlope(c);
-        assertEquals(1234, c.slope);
-        c.weight = 0.6;
-        c.delay = 500;
-        TrafficPolicy.measureSlope(c);
-        assertEquals(3000, c.slope, 1e-6);
-    }
-
     @Test
     void inFlightIsBoundedAndTheRestIsHeldOrRefused() {
         // ia17a29: without a bound, hosts were overdriven within seconds and stayed slow
