--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -58,7 +58,7 @@
     private static final long EXIT_MS = 3400; // after SIGTERM: the last bytes have had their time
     private static final long FIRST_LIST_MS = 500; // an agent nearby that serves has answered by then
     private static final long POLL_MS = 20; // how often a drain looks whether all is answered
-    private static final long FIGURES_MS = 100; // how often the figures of the second address are renewed
+    private static final long METRICS_PERIOD_MS = 100; // how often the figures of the second address are renewed
     private static final double MICROS_PER_MS = 1000;
     private static final double[] NO_REPORT = new double[0];
 
@@ -92,7 +92,7 @@
     private EndpointList known; // by the configuration, until the module has been told
     private final CountDownLatch drained = new CountDownLatch(1);
     private final RequestCounters tally;
-    private volatile MetricsSnapshot figures;
+    private volatile MetricsSnapshot metrics;
     private volatile boolean listening;
     private boolean telling;
     private boolean serving; // before, what peers say is for the ears of a module that has not begun
@@ -126,7 +126,7 @@
         this.shared = DescriptorBudget.shared(config.sockets());
         this.module = maker.apply(this);
         this.tally = new RequestCounters(config.settings().classes());
-        this.figures = new MetricsSnapshot(tally.classes(), 0, 0, new ClusterHealth(0, 0));
+        this.metrics = new MetricsSnapshot(tally.classes(), 0, 0, new ClusterHealth(0, 0));
         this.clients = new DownstreamServer(this);
         this.hosts = new UpstreamClient(this);
         this.discovery = new DiscoveryClient(this, config.known());
@@ -202,7 +202,11 @@
     private void openSecondAddress() {
         if (config.admin() != null) {
             try {
-                new AdminServer(config.admin(), config.sockets(), this::isReady, this::figures);
+                new AdminServer(
+                        config.admin(),
+                        DescriptorBudget.exclusive(config.sockets()).admin(),
+                        this::isReady,
+                        this::metrics);
             } catch (IOException e) {
                 LOG.warn("no admin address", "cause", e.getMessage());
             }
@@ -214,19 +218,19 @@
         return listening;
     }
 
-    public MetricsSnapshot figures() {
-        return figures;
+    public MetricsSnapshot metrics() {
+        return metrics;
     }
 
     public RequestCounters tally() {
         return tally;
     }
 
-    private void renewFigures() {
-        loop.schedule(this::renewFigures, FIGURES_MS, TimeUnit.MILLISECONDS);
+    private void renewMetrics() {
+        loop.schedule(this::renewMetrics, METRICS_PERIOD_MS, TimeUnit.MILLISECONDS);
         long current =
                 open.values().stream().filter(r -> !r.closed() && r.isWhole()).count();
-        figures = new MetricsSnapshot(tally.classes(), tally.sends(), current, module.clusterHealth(clock.now()));
+        metrics = new MetricsSnapshot(tally.classes(), tally.sends(), current, module.clusterHealth(clock.now()));
     }
 
     /** Whether the fleet serves clients, which would come here, too, rather than wait for this gateway's full speed. */
@@ -260,7 +264,7 @@
                     left.quotas().size());
             tell((now, m) -> m.restoreSnapshot(now, left));
         }
-        renewFigures();
+        renewMetrics();
     }
 
     /** Another way to the other gateways than datagrams. */
--- a/src/main/java/caperrudder/server/StartupProfileRun.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -5,6 +5,7 @@
 import caperrudder.server.handover.ProcessHandover;
 import caperrudder.server.handover.SnapshotCodec;
 import caperrudder.server.handover.SnapshotFormatException;
+import caperrudder.server.runtime.DescriptorBudget;
 import caperrudder.server.runtime.LibraryLog;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -56,7 +57,8 @@
         GatewayServer node = new GatewayServer(config);
         ConfigurationReloader.onHangup("");
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        try (AdminServer admin = new AdminServer(any, config.sockets(), node::isReady, node::figures)) {
+        try (AdminServer admin = new AdminServer(
+                any, DescriptorBudget.exclusive(config.sockets()).admin(), node::isReady, node::metrics)) {
             if (StartupWarmUp.run(config, StartupWarmUp.ENOUGH, BUILD_PATIENCE_MS, () -> false)
                     < StartupWarmUp.ENOUGH) {
                 throw new IOException("the warm-up came to a halt");
--- a/src/main/java/caperrudder/server/admin/AdminServer.java
+++ b/src/main/java/caperrudder/server/admin/AdminServer.java
@@ -1,6 +1,5 @@
 package caperrudder.server.admin;
 
-import caperrudder.server.runtime.DescriptorBudget;
 import caperrudder.server.runtime.FatalErrorHandler;
 import caperrudder.server.runtime.Transport;
 import io.netty.bootstrap.ServerBootstrap;
@@ -25,6 +24,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -35,55 +35,65 @@
 import java.util.function.Supplier;
 
 /**
- * The second address, for the platform and the staff: one call to a connection. It has a thread of its own, so that
- * it answers in time whatever the event loop that serves clients is busy with.
+ * The admin address, for the platform and the staff (page DEPLOY, docs/on-call.md): readiness and metrics, one request
+ * a connection. It has an event loop and a thread of its own, so that it answers in time whatever the event loop that
+ * serves clients is busy with.
  */
 public final class AdminServer implements Closeable {
     private static final String READY = "/api/ready";
     private static final String TELEMETRY = "/api/telemetry";
     private static final String ALLOWED = "GET, HEAD";
-    private static final String TEXT = "text/plain; version=0.0.4; charset=utf-8";
-    private static final long CALL_MS = 2000; // from a connection's start to its end
+    private static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
+    private static final long CONNECTION_MAX_MS = 2000; // from a connection's start to its end
     private static final int BACKLOG = 128;
 
     private final BooleanSupplier ready;
-    private final Supplier<MetricsSnapshot> figures;
+    private final Supplier<MetricsSnapshot> metrics;
     private final int maxConnections;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final LinkedHashSet<Channel> waiting = new LinkedHashSet<>(); // no whole call yet; the oldest first
+    private final LinkedHashSet<Channel> connections = new LinkedHashSet<>(); // the oldest first
     private final Channel listener;
 
-    /** Listens at once; {@code ready} and {@code figures} are asked on this address's own thread. */
-    public AdminServer(InetSocketAddress at, int sockets, BooleanSupplier ready, Supplier<MetricsSnapshot> figures)
+    /**
+     * Listens at once.
+     *
+     * @param maxConnections at which the oldest connection is closed for a new one
+     * @param ready whether clients are served; asked on this server's own thread, as is {@code metrics}
+     * @throws IOException where the address can't be had
+     */
+    public AdminServer(
+            InetSocketAddress address, int maxConnections, BooleanSupplier ready, Supplier<MetricsSnapshot> metrics)
             throws IOException {
         this.ready = ready;
-        this.figures = figures;
-        this.maxConnections = DescriptorBudget.exclusive(sockets).admin();
+        this.metrics = metrics;
+        this.maxConnections = maxConnections;
         try {
-            listener = new ServerBootstrap()
-                    .group(group)
-                    .channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                    .option(ChannelOption.SO_REUSEADDR, true)
-                    .option(ChannelOption.RCVBUF_ALLOCATOR, Transport.accepting())
-                    .childHandler(new ChannelInitializer<>() {
-                        @Override
-                        protected void initChannel(Channel ch) {
-                            ch.pipeline().addLast(new HttpServerCodec(), new Call());
-                        }
-                    })
-                    .bind(at)
-                    .sync()
-                    .channel();
+            listener = bootstrap().bind(address).sync().channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
-        } catch (Exception e) { // netty throws what failed as it is, checked or not
+        } catch (Exception e) { // Netty throws what failed as it is, checked or not
             close();
-            throw new IOException("no second address: " + e.getMessage(), e);
+            throw new IOException("can't listen: " + e.getMessage(), e);
         }
     }
 
+    private ServerBootstrap bootstrap() {
+        return new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.RCVBUF_ALLOCATOR, Transport.accepting())
+                .childHandler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        ch.pipeline().addLast(new HttpServerCodec(), new RequestHandler());
+                    }
+                });
+    }
+
+    /** The port of the listener, where the address left it to the system. */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
@@ -93,19 +103,19 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private FullHttpResponse answer(HttpRequest asked) {
-        int query = asked.uri().indexOf('?');
-        String path = query < 0 ? asked.uri() : asked.uri().substring(0, query);
+    private FullHttpResponse answer(HttpRequest request) {
+        int query = request.uri().indexOf('?');
+        String path = query < 0 ? request.uri() : request.uri().substring(0, query);
         if (!path.equals(READY) && !path.equals(TELEMETRY)) {
             return response(HttpResponseStatus.NOT_FOUND, "not found\n");
         }
-        if (!asked.method().equals(HttpMethod.GET) && !asked.method().equals(HttpMethod.HEAD)) {
-            FullHttpResponse not = response(HttpResponseStatus.METHOD_NOT_ALLOWED, "not allowed\n");
-            not.headers().set(HttpHeaderNames.ALLOW, ALLOWED);
-            return not;
+        if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.HEAD)) {
+            FullHttpResponse notAllowed = response(HttpResponseStatus.METHOD_NOT_ALLOWED, "not allowed\n");
+            notAllowed.headers().set(HttpHeaderNames.ALLOW, ALLOWED);
+            return notAllowed;
         }
         if (path.equals(TELEMETRY)) {
-            return response(HttpResponseStatus.OK, figures.get().text());
+            return response(HttpResponseStatus.OK, metrics.get().toPrometheusText());
         }
         return ready.getAsBoolean()
                 ? response(HttpResponseStatus.OK, "ready\n")
@@ -114,32 +124,33 @@
 
     private static FullHttpResponse response(HttpResponseStatus status, String text) {
         ByteBuf body = Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8));
-        FullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        r.headers()
-                .set(HttpHeaderNames.CONTENT_TYPE, TEXT)
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_TYPE, CONTENT_TYPE)
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        return r;
+        return response;
     }
 
-    /** One connection; whatever becomes of its call, it ends in time. */
-    private final class Call extends SimpleChannelInboundHandler<HttpObject> {
-        private HttpRequest asked;
+    /** One connection; whatever becomes of its request, it ends in time. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<HttpObject> {
+        private HttpRequest request;
         private boolean answered;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (waiting.size() >= maxConnections) { // a caller that says nothing must not keep others out
-                Channel oldest = waiting.iterator().next();
-                waiting.remove(oldest);
+            if (connections.size() >= maxConnections) { // a caller that sends nothing must not keep others out
+                Channel oldest = connections.iterator().next();
+                connections.remove(oldest);
                 oldest.close();
             }
             Channel channel = ctx.channel();
-            waiting.add(channel);
-            var end = ctx.executor().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
+            connections.add(channel);
+            ScheduledFuture<?> timeout =
+                    ctx.executor().schedule(() -> channel.close(), CONNECTION_MAX_MS, TimeUnit.MILLISECONDS);
             channel.closeFuture().addListener(f -> {
-                end.cancel(false);
-                waiting.remove(channel);
+                timeout.cancel(false);
+                connections.remove(channel);
             });
         }
 
@@ -153,10 +164,10 @@
                 return;
             }
             if (message instanceof HttpRequest httpRequest) {
-                asked = httpRequest;
+                request = httpRequest;
             }
             if (message instanceof LastHttpContent) {
-                write(ctx, answer(asked));
+                write(ctx, answer(request));
             }
         }
 
--- a/src/main/java/caperrudder/server/admin/MetricsSnapshot.java
+++ b/src/main/java/caperrudder/server/admin/MetricsSnapshot.java
@@ -5,43 +5,57 @@
 
 /**
  * What this process has done since its start and what it has in hand, at one moment. Immutable: the only thing that
- * crosses from the event loop to the second address.
+ * crosses from the event loop to the admin address.
+ *
+ * @param classes the requests that ended, by class
+ * @param attemptsSent attempts that were written whole to hosts
+ * @param openRequests requests that came whole and have not ended
+ * @param cluster the hosts that are listed
  */
-public record MetricsSnapshot(List<Ended> classes, long sends, long current, ClusterHealth cluster) {
-    /** How the requests of one class ended. */
-    public record Ended(String name, long answered, long deferred, long errored) {}
+public record MetricsSnapshot(
+        List<EndedRequests> classes, long attemptsSent, long openRequests, ClusterHealth cluster) {
+    private static final int TEXT_CHARS = 1024; // to begin with
 
-    /** In the text form that scrapers of figures read. */
-    String text() {
-        StringBuilder b = new StringBuilder(1024);
-        about(b, "app_transactions_total", "counter", "Requests ended: served, refused, failed.");
-        for (Ended e : classes) {
-            ended(b, e.name, "answered", e.answered);
-            ended(b, e.name, "deferred", e.deferred);
-            ended(b, e.name, "errored", e.errored);
+    /**
+     * How the requests of one class ended.
+     *
+     * @param answered a host's answer was served
+     * @param deferred rejected: the client may retry later
+     * @param errored failed, or left by their client
+     */
+    public record EndedRequests(String requestClass, long answered, long deferred, long errored) {}
+
+    /** The text form that Prometheus reads. Names and labels are read by others and must not change. */
+    String toPrometheusText() {
+        StringBuilder text = new StringBuilder(TEXT_CHARS);
+        appendHeader(text, "app_transactions_total", "counter", "Requests ended: served, refused, failed.");
+        for (EndedRequests ended : classes) {
+            appendTransactions(text, ended.requestClass, "answered", ended.answered);
+            appendTransactions(text, ended.requestClass, "deferred", ended.deferred);
+            appendTransactions(text, ended.requestClass, "errored", ended.errored);
         }
-        about(b, "app_sends_total", "counter", "Attempts written whole to hosts.");
-        line(b, "app_sends_total", sends);
-        about(b, "app_current", "gauge", "Requests taken and not ended.");
-        line(b, "app_current", current);
-        about(b, "app_cluster_size", "gauge", "Hosts in the list.");
-        line(b, "app_cluster_size", cluster.size());
-        about(b, "app_cluster_unhealthy", "gauge", "Listed hosts that are avoided now.");
-        line(b, "app_cluster_unhealthy", cluster.unhealthy());
-        return b.toString();
+        appendHeader(text, "app_sends_total", "counter", "Attempts written whole to hosts.");
+        appendValue(text, "app_sends_total", attemptsSent);
+        appendHeader(text, "app_current", "gauge", "Requests taken and not ended.");
+        appendValue(text, "app_current", openRequests);
+        appendHeader(text, "app_cluster_size", "gauge", "Hosts in the list.");
+        appendValue(text, "app_cluster_size", cluster.size());
+        appendHeader(text, "app_cluster_unhealthy", "gauge", "Listed hosts that are avoided now.");
+        appendValue(text, "app_cluster_unhealthy", cluster.unhealthy());
+        return text.toString();
     }
 
-    private static void about(StringBuilder b, String name, String type, String help) {
-        b.append("# HELP ").append(name).append(' ').append(help).append('\n');
-        b.append("# TYPE ").append(name).append(' ').append(type).append('\n');
+    private static void appendHeader(StringBuilder text, String name, String type, String help) {
+        text.append("# HELP ").append(name).append(' ').append(help).append('\n');
+        text.append("# TYPE ").append(name).append(' ').append(type).append('\n');
     }
 
-    private static void ended(StringBuilder b, String group, String state, long value) {
+    private static void appendTransactions(StringBuilder text, String group, String state, long count) {
         String quoted = group.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
-        line(b, "app_transactions_total{group=\"" + quoted + "\",state=\"" + state + "\"}", value);
+        appendValue(text, "app_transactions_total{group=\"" + quoted + "\",state=\"" + state + "\"}", count);
     }
 
-    private static void line(StringBuilder b, String name, long value) {
-        b.append(name).append(' ').append(value).append('\n');
+    private static void appendValue(StringBuilder text, String name, long value) {
+        text.append(name).append(' ').append(value).append('\n');
     }
 }
--- a/src/main/java/caperrudder/server/admin/RequestCounters.java
+++ b/src/main/java/caperrudder/server/admin/RequestCounters.java
@@ -1,48 +1,56 @@
 package caperrudder.server.admin;
 
 import caperrudder.api.RequestClass;
-import caperrudder.server.admin.MetricsSnapshot.Ended;
+import caperrudder.server.admin.MetricsSnapshot.EndedRequests;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** The counts of one process, from 0 at its start. On the event loop only. */
+/** What one process has done, counted from 0 at its start. On the event loop only. */
 public final class RequestCounters {
     /** How a request ended. */
     public enum End {
+        /** A host's answer was served. */
         ANSWERED,
+        /** Rejected: the client may retry later. */
         DEFERRED,
+        /** Failed, or left by its client. */
         ERRORED
     }
 
-    private final Map<String, Map<End, Long>> ends = new LinkedHashMap<>();
-    private long sends;
+    private final Map<String, Map<End, Long>> endedByClass = new LinkedHashMap<>();
+    private long attemptsSent;
 
+    /** Counters of these classes, in their order. */
     public RequestCounters(List<RequestClass> classes) {
-        classes.forEach(c -> ends.put(c.name(), new EnumMap<>(End.class)));
+        classes.forEach(requestClass -> endedByClass.put(requestClass.name(), new EnumMap<>(End.class)));
     }
 
+    /** A request of a known class ended. */
     public void ended(String requestClass, End end) {
-        ends.get(requestClass).merge(end, 1L, Long::sum);
+        endedByClass.get(requestClass).merge(end, 1L, Long::sum);
     }
 
+    /** An attempt was written whole to a host. */
     public void sent() {
-        sends++;
+        attemptsSent++;
     }
 
+    /** Attempts that were written whole. */
     public long sends() {
-        return sends;
+        return attemptsSent;
     }
 
-    public List<Ended> classes() {
-        List<Ended> all = new ArrayList<>(ends.size());
-        ends.forEach((name, n) -> all.add(new Ended(
-                name,
-                n.getOrDefault(End.ANSWERED, 0L),
-                n.getOrDefault(End.DEFERRED, 0L),
-                n.getOrDefault(End.ERRORED, 0L))));
-        return all;
+    /** The requests that ended, by class. */
+    public List<EndedRequests> classes() {
+        List<EndedRequests> classes = new ArrayList<>(endedByClass.size());
+        endedByClass.forEach((requestClass, ended) -> classes.add(new EndedRequests(
+                requestClass,
+                ended.getOrDefault(End.ANSWERED, 0L),
+                ended.getOrDefault(End.DEFERRED, 0L),
+                ended.getOrDefault(End.ERRORED, 0L))));
+        return classes;
     }
 }
--- a/src/test/java/caperrudder/server/ClosingTest.java
+++ b/src/test/java/caperrudder/server/ClosingTest.java
@@ -33,7 +33,7 @@
 
     private static void awaitAnswered(GatewayServer node, long count) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIME);
-        while (node.figures().classes().get(0).answered() < count) {
+        while (node.metrics().classes().get(0).answered() < count) {
             assertTrue(System.nanoTime() < end, "not answered");
             Thread.onSpinWait();
         }
@@ -62,7 +62,7 @@
         sent.countDown();
         awaitAnswered(node, 1);
         assertTakenWhole(s);
-        assertEquals(1, node.figures().sends());
+        assertEquals(1, node.metrics().attemptsSent());
     }
 
     /** The close of a connection that rested crossed a request, and the answer before was not taken yet. */
@@ -77,7 +77,7 @@
         assertTakenWhole(s);
         s.close();
         assertTrue(node.awaitDrained(TIME));
-        assertEquals(1, node.figures().sends());
+        assertEquals(1, node.metrics().attemptsSent());
     }
 
     /** Read after the end of the output it can't be answered: its client asks again elsewhere. */
--- a/src/test/java/caperrudder/server/DrainTest.java
+++ b/src/test/java/caperrudder/server/DrainTest.java
@@ -33,12 +33,14 @@
     /** Until no request goes out any more although many wait. */
     private static void awaitStall(GatewayServer node) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        MetricsSnapshot last = node.figures();
+        MetricsSnapshot last = node.metrics();
         for (int same = 0; same < 3; ) {
             assertTrue(System.nanoTime() < end, "it never stalled");
-            MetricsSnapshot now = node.figures();
+            MetricsSnapshot now = node.metrics();
             if (now != last) {
-                same = now.current() == 0 && now.sends() > 0 && now.sends() == last.sends() ? same + 1 : 0;
+                same = now.openRequests() == 0 && now.attemptsSent() > 0 && now.attemptsSent() == last.attemptsSent()
+                        ? same + 1
+                        : 0;
                 last = now;
             }
             Thread.onSpinWait();
--- a/src/test/java/caperrudder/server/LeavingClientTest.java
+++ b/src/test/java/caperrudder/server/LeavingClientTest.java
@@ -136,7 +136,7 @@
         awaitCurrent(node, 1);
         c.close();
         awaitCurrent(node, 0);
-        MetricsSnapshot.Ended views = node.figures().classes().get(0);
+        MetricsSnapshot.EndedRequests views = node.metrics().classes().get(0);
         assertEquals(List.of(0L, 1L), List.of(views.deferred(), views.errored()), "refused when its time was up");
         assertOnlyOthersAreServed(node, 1);
     }
--- a/src/test/java/caperrudder/server/SocketTest.java
+++ b/src/test/java/caperrudder/server/SocketTest.java
@@ -125,7 +125,7 @@
 
     static void awaitCurrent(GatewayServer node, long count) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (node.figures().current() != count) {
+        while (node.metrics().openRequests() != count) {
             assertTrue(System.nanoTime() < end, "not " + count + " requests open");
             Thread.onSpinWait();
         }
--- a/src/test/java/caperrudder/server/StreamingTest.java
+++ b/src/test/java/caperrudder/server/StreamingTest.java
@@ -258,7 +258,7 @@
                 .send(ORDER + "Content-Length: " + LONG + "\r\n\r\n"
                         + text(body).substring(0, LONG / 2));
         assertTrue(arriving.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS), "nothing went on");
-        assertEquals(0, node.figures().current());
+        assertEquals(0, node.metrics().openRequests());
         c.send(text(body).substring(LONG / 2));
         assertEquals(text(body), c.receive().text());
         assertEquals(0, host.asked.size());
--- a/src/test/java/caperrudder/server/admin/AdminServerTest.java
+++ b/src/test/java/caperrudder/server/admin/AdminServerTest.java
@@ -13,6 +13,7 @@
 import caperrudder.server.Sockets.Message;
 import caperrudder.server.Sockets.Server;
 import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.runtime.DescriptorBudget;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -29,7 +30,8 @@
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private AdminServer admin(GatewayServer node) throws IOException {
-        return kept(new AdminServer(ANY, FEW_SOCKETS, node::isReady, node::figures));
+        return kept(
+                new AdminServer(ANY, DescriptorBudget.exclusive(FEW_SOCKETS).admin(), node::isReady, node::metrics));
     }
 
     private static Socket open(AdminServer admin) throws IOException {
@@ -47,7 +49,7 @@
         }
     }
 
-    private static void awaitFigure(AdminServer admin, String line) throws Exception {
+    private static void awaitMetric(AdminServer admin, String line) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
         while (!call(admin, "GET /api/telemetry").text().lines().toList().contains(line)) {
             assertTrue(System.nanoTime() < end, "never told: " + line);
@@ -66,12 +68,12 @@
         "POST /none,404",
         "GET  x  y z,400"
     })
-    void answersExactlyItsCalls(String line, int status) throws Exception {
+    void eachRequestLineGetsItsStatus(String line, int status) throws Exception {
         assertEquals(status, call(admin(nodeBefore()), line).status());
     }
 
     @Test
-    void isReadyFromTheListenersStartToItsClose() throws Exception {
+    void readyOnlyWhileTheListenerIsOpen() throws Exception {
         registry = kept(new Sockets.Registry(Sockets.list(1, true)));
         GatewayServer node = new GatewayServer(GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
                 .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
@@ -85,7 +87,7 @@
     }
 
     @Test
-    void countsEachRequestOnceByItsEnd() throws Exception {
+    void eachRequestIsCountedOnceByItsResult() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.start().contains("/view/held")) {
@@ -107,20 +109,20 @@
         assertEquals(429, c.send(tiny).receive().status());
         assertEquals(502, c.send(order("o", "b")).receive().status()); // three attempts
         Client held = client(node).send(view("held", Sockets.PATIENCE_MS));
-        awaitFigure(admin, "app_current 1");
-        awaitFigure(admin, "app_sends_total 5");
-        awaitFigure(admin, "app_transactions_total{group=\"view\",state=\"answered\"} 1");
-        awaitFigure(admin, "app_transactions_total{group=\"view\",state=\"deferred\"} 1");
-        awaitFigure(admin, "app_transactions_total{group=\"order\",state=\"errored\"} 1");
-        awaitFigure(admin, "app_cluster_size 1");
+        awaitMetric(admin, "app_current 1");
+        awaitMetric(admin, "app_sends_total 5");
+        awaitMetric(admin, "app_transactions_total{group=\"view\",state=\"answered\"} 1");
+        awaitMetric(admin, "app_transactions_total{group=\"view\",state=\"deferred\"} 1");
+        awaitMetric(admin, "app_transactions_total{group=\"order\",state=\"errored\"} 1");
+        awaitMetric(admin, "app_cluster_size 1");
         told.countDown();
         assertEquals(200, held.receive().status());
-        awaitFigure(admin, "app_current 0");
-        awaitFigure(admin, "app_transactions_total{group=\"view\",state=\"answered\"} 2");
+        awaitMetric(admin, "app_current 0");
+        awaitMetric(admin, "app_transactions_total{group=\"view\",state=\"answered\"} 2");
     }
 
     @Test
-    void callersThatSayNothingKeepNobodyOut() throws Exception {
+    void silentConnectionsAreClosedForNewOnes() throws Exception {
         AdminServer admin = admin(nodeBefore());
         Socket[] silent = new Socket[20];
         for (int i = 0; i < silent.length; i++) {
@@ -143,7 +145,7 @@
 
     /** What its thread answers from was made before, so a loop that stands still delays no call. */
     @Test
-    void answersWhileTheLoopOfClientsStandsStill() throws Exception {
+    void answersWhileTheClientsEventLoopIsBlocked() throws Exception {
         GatewayServer node = nodeBefore();
         AdminServer admin = admin(node);
         CountDownLatch released = new CountDownLatch(1);
