--- a/src/test/java/caperrudder/policy/BooksTest.java
+++ b/src/test/java/caperrudder/policy/BooksTest.java
@@ -1,6 +1,7 @@
 package caperrudder.policy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import caperrudder.api.Limits;
 import caperrudder.api.Outcome;
--- a/src/test/java/caperrudder/policy/EndpointCostsTest.java
+++ b/src/test/java/caperrudder/policy/EndpointCostsTest.java
@@ -1,6 +1,6 @@
 package caperrudder.policy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
--- a/src/test/java/caperrudder/policy/GuardsTest.java
+++ b/src/test/java/caperrudder/policy/GuardsTest.java
@@ -1,6 +1,9 @@
 package caperrudder.policy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.Host;
--- a/src/test/java/caperrudder/policy/InheritanceTest.java
+++ b/src/test/java/caperrudder/policy/InheritanceTest.java
@@ -1,6 +1,6 @@
 package caperrudder.policy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.ClusterHealth;
--- a/src/test/java/caperrudder/policy/RankedEndpointsTest.java
+++ b/src/test/java/caperrudder/policy/RankedEndpointsTest.java
@@ -1,6 +1,8 @@
 package caperrudder.policy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
 
 import java.util.ArrayList;
 import java.util.Comparator;
