--- a/src/main/java/caperrudder/api/DeduplicationScope.java
+++ b/src/main/java/caperrudder/api/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package caperrudder.api;
 
-/** The hosts that drop repeats of one key. */
+/** The hosts that share a memory of idempotency keys, and so drop repeats of one key. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
--- a/src/main/java/caperrudder/api/HostListKind.java
+++ b/src/main/java/caperrudder/api/HostListKind.java
@@ -1,6 +1,9 @@
 package caperrudder.api;
 
-/** How a list of hosts is to be read: changes, all, what was held before a restart, or none (a call failed). */
+/**
+ * How a list of hosts is to be read. {@code CHANGES}: these hosts have changed. {@code FULL}: these are all.
+ * {@code CACHED}: these were all before a restart. {@code FAILED}: a call failed, there are none.
+ */
 public enum HostListKind {
     CHANGES,
     FULL,
--- a/src/main/java/caperrudder/api/HostState.java
+++ b/src/main/java/caperrudder/api/HostState.java
@@ -1,5 +1,6 @@
 package caperrudder.api;
 
+/** Whether a host may be sent requests. */
 public enum HostState {
     RUNNING,
     DRAINING,
--- a/src/main/java/caperrudder/api/Outcome.java
+++ b/src/main/java/caperrudder/api/Outcome.java
@@ -1,6 +1,9 @@
 package caperrudder.api;
 
-/** How an attempt, a probe or a counter call ended; SPOILT: an answer came that can't be read. */
+/**
+ * How an attempt, a health check or a call to a counter ended. {@code REJECTED}: the host had no capacity.
+ * {@code NOT_SENT}: nothing left the gateway. {@code MALFORMED}: a response came that can't be read.
+ */
 public enum Outcome {
     OK,
     ERROR,
--- a/src/main/java/caperrudder/api/Request.java
+++ b/src/main/java/caperrudder/api/Request.java
@@ -1,8 +1,19 @@
 package caperrudder.api;
 
 /**
- * A request, waiting since {@code arrivedMs}: {@code spread} gateways from number {@code first} on, counted round,
- * may receive the customer. Of one that is still {@code arriving} the end is to come, and its time with it.
+ * A request.
+ *
+ * @param id unique among the gateway's open requests
+ * @param deadlineMs when the client gives up
+ * @param arrivedMs since when the client waits
+ * @param clientRetry whether the client says that it has sent the request before
+ * @param requestClass the name of its class
+ * @param customer the customer's number
+ * @param plan the name of the customer's plan
+ * @param units its size
+ * @param firstReplica the first gateway of the customer's replica set
+ * @param replicaCount the gateways of that set, counted round from the first
+ * @param bodyPending whether its end is still to come, and with it the time at which its client begins to wait
  */
 public record Request(
         String id,
@@ -16,6 +27,7 @@
         int firstReplica,
         int replicaCount,
         boolean bodyPending) {
+    /** A request that has come whole. */
     public Request(
             String id,
             double deadlineMs,
