--- /dev/null
+++ b/src/test/java/caperrudder/architecture/ArchitectureTest.java
@@ -0,0 +1,219 @@
+package caperrudder.architecture;
+
+import static com.tngtech.archunit.base.DescribedPredicate.describe;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.fields;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+
+import com.tngtech.archunit.core.domain.JavaClass;
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.lang.ArchCondition;
+import com.tngtech.archunit.lang.ArchRule;
+import com.tngtech.archunit.lang.ConditionEvents;
+import com.tngtech.archunit.lang.SimpleConditionEvent;
+import java.util.Calendar;
+import java.util.Date;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import java.util.Timer;
+import java.util.UUID;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+
+/** Holds the rules of docs/ARCHITECTURE.md: which package may use which, and what the decision logic may not touch. */
+class ArchitectureTest {
+    private static final String ROOT = "caperrudder";
+
+    /** All packages below the root, lowest first: each may use those before it. */
+    private static final List<String> LAYERS = List.of(
+            "api",
+            "settings",
+            "policy.loadbalancing",
+            "policy.scheduling",
+            "policy.quota",
+            "policy.gossip",
+            "policy.retry",
+            "policy",
+            "server.runtime",
+            "server.http",
+            "server.config",
+            "server.discovery",
+            "server.upstream",
+            "server.downstream",
+            "server.handover",
+            "server.admin",
+            "server",
+            "simulator",
+            "scale");
+
+    private static final String[] DECISION_LOGIC = {
+        "caperrudder.api..", "caperrudder.settings..", "caperrudder.policy.."
+    };
+
+    /** Uses of higher packages that are still there, class by class. Each goes with the step that turns it round. */
+    private static final Set<String> USE_HIGHER_LAYERS = Set.of(
+            "caperrudder.server.config.GatewayConfig", // reads the list of hosts by server.discovery
+            "caperrudder.server.discovery.DiscoveryClient", // calls GatewayServer back, as do the next six
+            "caperrudder.server.downstream.DownstreamServer",
+            "caperrudder.server.downstream.RequestReader",
+            "caperrudder.server.handover.ProcessHandover",
+            "caperrudder.server.runtime.DrainableListener",
+            "caperrudder.server.runtime.FatalErrorHandler",
+            "caperrudder.server.upstream.UpstreamClient",
+            "caperrudder.server.upstream.UpstreamConnection", // knows the request's reader
+            "caperrudder.server.upstream.UpstreamAttempt", // knows the open request
+            "caperrudder.server.http.StrictHeaders", // uses RequestParser
+            "caperrudder.server.discovery.EndpointListParser");
+
+    /** Classes with fields that others may set. Each goes with the step that gives it methods. */
+    private static final Set<String> SHARE_FIELDS = Set.of(
+            "caperrudder.policy.Attempt", // the state of the policy, until it is cut by concern, as are the next seven
+            "caperrudder.policy.CustomerQuota",
+            "caperrudder.policy.PeerState",
+            "caperrudder.policy.PendingRequest",
+            "caperrudder.policy.RankedEndpoints",
+            "caperrudder.policy.ReplicaState",
+            "caperrudder.policy.TrafficClass",
+            "caperrudder.policy.TrafficPolicy",
+            "caperrudder.scale.DiscoveryStandIn$Entry",
+            "caperrudder.scale.HollowFleet$Open",
+            "caperrudder.scale.PhaseCosts",
+            "caperrudder.server.OpenRequest",
+            "caperrudder.server.config.GatewayConfig",
+            "caperrudder.server.discovery.DiscoveryClient",
+            "caperrudder.server.downstream.DownstreamServer",
+            "caperrudder.server.downstream.DownstreamServer$Connection",
+            "caperrudder.server.upstream.UpstreamAttempt",
+            "caperrudder.server.upstream.UpstreamClient",
+            "caperrudder.server.upstream.UpstreamClient$Pool");
+
+    private static JavaClasses program;
+
+    @BeforeAll
+    static void readTheProgram() {
+        program = new ClassFileImporter()
+                .withImportOption(new ImportOption.DoNotIncludeTests())
+                .importPackages(ROOT);
+    }
+
+    @Test
+    void everyPackageHasItsLayer() {
+        classes().should(beInALayer()).check(program);
+    }
+
+    @Test
+    void packagesUseOnlyThoseBelowThem() {
+        classes().should(useOnlyLowerLayers()).check(program);
+    }
+
+    @Test
+    void decisionsUseNoSocketsFilesOrThreads() {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAnyPackage(DECISION_LOGIC)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.io..",
+                        "java.net..",
+                        "java.nio.channels..",
+                        "java.nio.file..",
+                        "java.util.concurrent..",
+                        "io.netty..")
+                .orShould()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class, ThreadLocal.class, Timer.class, Process.class);
+        rule.check(program);
+    }
+
+    @Test
+    void decisionsTakeTimeFromTheirEventsAlone() {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAnyPackage(DECISION_LOGIC)
+                .should()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.time..")
+                .orShould()
+                .dependOnClassesThat()
+                .belongToAnyOf(Date.class, Calendar.class);
+        rule.check(program);
+    }
+
+    @Test
+    void decisionsDrawFromTheSeedAlone() {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAnyPackage(DECISION_LOGIC)
+                .should()
+                .callConstructor(Random.class)
+                .orShould()
+                .callMethod(Math.class, "random")
+                .orShould()
+                .callMethod(UUID.class, "randomUUID");
+        rule.check(program);
+    }
+
+    @Test
+    void fieldsThatOthersSeeDoNotChange() {
+        ArchRule rule = fields().that()
+                .areNotPrivate()
+                .and(describe(
+                        "are not in a class that shares them still",
+                        field -> !SHARE_FIELDS.contains(field.getOwner().getName())))
+                .should()
+                .beFinal();
+        rule.check(program);
+    }
+
+    private static ArchCondition<JavaClass> beInALayer() {
+        return new ArchCondition<>("be in a package that has a layer") {
+            @Override
+            public void check(JavaClass type, ConditionEvents events) {
+                if (layerOf(type) < 0) {
+                    events.add(
+                            SimpleConditionEvent.violated(type, type.getName() + " is in a package without a layer"));
+                }
+            }
+        };
+    }
+
+    private static ArchCondition<JavaClass> useOnlyLowerLayers() {
+        return new ArchCondition<>("use only their own package and those below it") {
+            @Override
+            public void check(JavaClass origin, ConditionEvents events) {
+                if (USE_HIGHER_LAYERS.contains(topLevelName(origin))) {
+                    return;
+                }
+                int layer = layerOf(origin);
+                origin.getDirectDependenciesFromSelf().stream()
+                        .filter(use -> layerOf(use.getTargetClass().getBaseComponentType()) > layer)
+                        .forEach(use -> events.add(SimpleConditionEvent.violated(origin, use.getDescription())));
+            }
+        };
+    }
+
+    private static String topLevelName(JavaClass type) {
+        JavaClass outer = type;
+        while (outer.getEnclosingClass().isPresent()) {
+            outer = outer.getEnclosingClass().get();
+        }
+        return outer.getName();
+    }
+
+    /** The place of a class's package in {@link #LAYERS}, that of the root above all; -1 for all that is not ours. */
+    private static int layerOf(JavaClass type) {
+        String packageName = type.getPackageName();
+        if (packageName.equals(ROOT)) {
+            return LAYERS.size();
+        }
+        return packageName.startsWith(ROOT + ".") ? LAYERS.indexOf(packageName.substring(ROOT.length() + 1)) : -1;
+    }
+}
--- a/src/test/java/caperrudder/policy/PartsTest.java
+++ b/src/test/java/caperrudder/policy/PartsTest.java
@@ -1,8 +1,6 @@
 package caperrudder.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.AttemptResult;
