--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -8,6 +8,7 @@
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.Request;
+import caperrudder.api.Settings;
 import caperrudder.api.Snapshot;
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.admin.AdminServer;
@@ -15,7 +16,9 @@
 import caperrudder.server.admin.RequestCounters;
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.discovery.DiscoveryClient;
+import caperrudder.server.discovery.DiscoveryTimings;
 import caperrudder.server.discovery.EndpointList;
+import caperrudder.server.discovery.EndpointListener;
 import caperrudder.server.downstream.DownstreamServer;
 import caperrudder.server.handover.ProcessHandover;
 import caperrudder.server.handover.SnapshotExchange;
@@ -44,6 +47,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -53,7 +57,7 @@
  * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
  * table of open requests. It carries out what the module decides and tells it what came of it.
  */
-public final class GatewayServer implements PolicyActions, SnapshotExchange {
+public final class GatewayServer implements PolicyActions, SnapshotExchange, EndpointListener {
     private static final Log LOG = Log.of("gateway");
     private static final long EXIT_MS = 3400; // after SIGTERM: the last bytes have had their time
     private static final long FIRST_LIST_MS = 500; // an agent nearby that serves has answered by then
@@ -129,11 +133,18 @@
         this.metrics = new MetricsSnapshot(tally.classes(), 0, 0, new ClusterHealth(0, 0));
         this.clients = new DownstreamServer(this);
         this.hosts = new UpstreamClient(this);
-        this.discovery = new DiscoveryClient(this, config.known());
+        this.discovery = new DiscoveryClient(
+                loop, config.discovery(), discoveryTimings(config), Optional.ofNullable(config.known()), this);
         this.peers = new PeerTransport(this);
         this.mail = peers;
     }
 
+    private static DiscoveryTimings discoveryTimings(GatewayConfig config) {
+        Settings settings = config.settings();
+        return new DiscoveryTimings(
+                !settings.subscribesToHosts(), settings.rules().drainGraceMs(), settings.seed());
+    }
+
     /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
     public static void main(String configFile, String adminAddress) {
         FatalErrorHandler.arm();
@@ -254,7 +265,7 @@
         lag.start();
         tell((now, m) -> m.start(now, config.settings()));
         if (known != null) {
-            hostsTold(HostListKind.CACHED, known.entries());
+            endpointsUpdated(HostListKind.CACHED, known.entries());
             known = null;
         }
         if (left != null) {
@@ -274,7 +285,7 @@
 
     /** Takes from a new configuration what may change while clients are served; the rest waits for a restart. */
     public void reload(GatewayConfig fresh) {
-        loop.execute(() -> discovery.move(fresh.discovery()));
+        loop.execute(() -> discovery.moveTo(fresh.discovery()));
     }
 
     // ---- the turn from one process to the next
@@ -477,11 +488,13 @@
         }
     }
 
-    public boolean knowsHosts() {
+    @Override
+    public boolean hasEndpoints() {
         return hosts.known();
     }
 
-    public void hostsTold(HostListKind kind, List<EndpointList.Entry> entries) {
+    @Override
+    public void endpointsUpdated(HostListKind kind, List<EndpointList.Entry> entries) {
         hosts.listed(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
--- a/src/main/java/caperrudder/server/StartupWarmUp.java
+++ b/src/main/java/caperrudder/server/StartupWarmUp.java
@@ -156,7 +156,7 @@
             int me = node.config.settings().gatewayIndex();
             node.linkBy((peer, data) -> group.execute(() -> nodes.get(1 - me).peerSaid(me, data)));
             group.submit(() -> node.listen()).sync().getNow().sync();
-            group.execute(() -> node.hostsTold(HostListKind.FULL, list));
+            group.execute(() -> node.endpointsUpdated(HostListKind.FULL, list));
         }
         outside.execute(() -> {
             for (int i = 0; i < CLIENTS; i++) {
--- a/src/main/java/caperrudder/server/config/GatewayConfig.java
+++ b/src/main/java/caperrudder/server/config/GatewayConfig.java
@@ -3,7 +3,7 @@
 import caperrudder.api.Settings;
 import caperrudder.server.discovery.EndpointList;
 import caperrudder.server.discovery.EndpointListParser;
-import caperrudder.server.discovery.EndpointListReader;
+import caperrudder.server.discovery.EndpointListTooLongException;
 import caperrudder.server.runtime.Log;
 import caperrudder.server.runtime.SocketAddresses;
 import caperrudder.settings.FieldException;
@@ -100,8 +100,8 @@
         long from = at.currentTokenLocation().getByteOffset();
         int depth = at.getParsingContext().getNestingDepth();
         try {
-            return EndpointListParser.read(at, EndpointListReader.limitBytes());
-        } catch (EndpointList.TooLong e) {
+            return EndpointListParser.parse(at, EndpointListParser.maxBytes()).orElse(null);
+        } catch (EndpointListTooLongException e) {
             JsonToken token = at.currentToken();
             while (token != null
                     && !(token.isStructEnd() && at.getParsingContext().getNestingDepth() < depth)) {
@@ -158,7 +158,10 @@
 
     public static GatewayConfig of(JsonNode root) throws IOException {
         try (JsonParser known = root.path(KNOWN).traverse()) {
-            return of(root, EndpointListParser.read(known, EndpointListReader.limitBytes()));
+            return of(
+                    root,
+                    EndpointListParser.parse(known, EndpointListParser.maxBytes())
+                            .orElse(null));
         }
     }
 
--- a/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
@@ -69,7 +69,7 @@
     /** Seen: calls that fell silent were made again after 7.5 s, and a drain counts as told after 6 to 7. */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
-    void aSilentWatchIsOpenedAnewBeforeItsNewsCounts(String mode) throws Exception {
+    void silentWatchIsHedgedBeforeAnUpdateIsOverdue(String mode) throws Exception {
         Server old = host(SocketTest::echo);
         Server fresh = host(SocketTest::echo);
         ByHand agent = new ByHand();
@@ -99,7 +99,7 @@
 
     /** An agent that was cut off answers at its return what it was asked before: that call must still be open. */
     @Test
-    void aSilentCallIsStillHeardAndMadeAgainWithinADrainsGrace() throws Exception {
+    void silentPollIsHedgedWithinADrainsGraceAndStillFollowed() throws Exception {
         Server fresh = host(SocketTest::echo);
         ByHand agent = new ByHand();
         kept(agent.server);
@@ -124,7 +124,7 @@
 
     /** Seen in the code: a new process took clients by the list that it was started with, however old. */
     @Test
-    void noClientComesBeforeWhatTheAgentHoldsIsHeard() throws Exception {
+    void noClientIsServedBeforeTheAgentsFirstAnswer() throws Exception {
         Server drained = host(SocketTest::echo);
         Server fresh = host(SocketTest::echo);
         CountDownLatch started = new CountDownLatch(1);
@@ -163,7 +163,7 @@
                 "",
                 "not JSON"
             })
-    void whatIsNoListLeavesTheLastGoodOneAndIsAskedAgainLessAndLessOften(String bad) throws Exception {
+    void malformedListIsRetriedWithBackoffAndTheLastGoodOneServes(String bad) throws Exception {
         Server host = host(SocketTest::echo);
         Server agent = kept(new Server((m, s) -> s.getOutputStream().write(ok(bad))));
         GatewayServer node = node(agent, list(41, true, entry("h0", host.address(), "ready")), "subscribe");
@@ -180,7 +180,7 @@
 
     /** Refused by its length as told, before anything of it has come. */
     @Test
-    void aListThatIsAnnouncedBeyondAllMemoryIsRefusedAndTheLastGoodOneServes() throws Exception {
+    void listAnnouncedBeyondMemoryIsRejectedAndTheLastGoodOneServes() throws Exception {
         Server host = host(SocketTest::echo);
         Server agent = kept(new Server((m, s) -> s.getOutputStream()
                 .write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + Long.MAX_VALUE + "\r\n\r\n{"))));
@@ -198,7 +198,7 @@
 
     /** A list of the whole fleet once kept the event loop for half a second. */
     @Test
-    void oneTurnOfTheLoopReadsOneSlice() throws Exception {
+    void longListIsReadOneSliceATurnOfTheEventLoop() throws Exception {
         String[] entries = new String[20_000];
         for (int i = 0; i < entries.length; i++) {
             entries[i] = entry("h" + i, "127.0.0.2:" + (1 + i), "ready");
@@ -225,13 +225,13 @@
         assertNotNull(agent.next());
         assertNotNull(agent.next()); // once the list has been read
         int read = turns.get() - before.get();
-        int slices = list.length / DiscoveryClient.SLICE_BYTES;
+        int slices = list.length / DiscoveryConnection.SLICE_BYTES;
         assertTrue(read >= slices, read + " turns for " + slices + " slices");
     }
 
     /** A version that runs backwards, a double id and a host that changes its zone. */
     @Test
-    void theLastWordToldHolds() throws Exception {
+    void latestUpdateReplacesEarlierOnesWhateverItsVersion() throws Exception {
         Server old = host(SocketTest::echo);
         Server fresh = host(SocketTest::echo);
         Server agent = kept(new Server((m, s) -> {
@@ -256,7 +256,7 @@
 
     /** A list that never ends is one that is silent. */
     @Test
-    void anEndlessListIsAskedForBeside() throws Exception {
+    void endlessListIsHedged() throws Exception {
         Server host = host(SocketTest::echo);
         AtomicBoolean first = new AtomicBoolean(true);
         CountDownLatch heard = new CountDownLatch(1);
@@ -281,7 +281,7 @@
 
     /** Lists come with blanks and line ends, too. */
     @Test
-    void anIndentedListIsRead() throws Exception {
+    void indentedListIsRead() throws Exception {
         Server host = host(SocketTest::echo);
         Server agent = kept(new Server((m, s) -> {
             if (!m.start().contains("from=1&")) {
@@ -319,7 +319,7 @@
     /** Seen in the code: a rest of up to 3 s, then a watch whose silence shows after 4.5 s, then the call beside it. */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
-    void aSilentCallAfterARefusalLeavesTimeForAnother(String mode) throws Exception {
+    void silentPollAfterARejectionIsHedgedInTime(String mode) throws Exception {
         ByHand agent = beforeOneThatKnows(mode);
         Socket refused = agent.next();
         long from = System.nanoTime();
@@ -332,7 +332,7 @@
     /** Seen in the code: beside a watch that was silent for 4.5 s, a refused call was made again up to 3 s later. */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
-    void aRefusedCallBesideASilentWatchIsMadeAgainInTime(String mode) throws Exception {
+    void rejectedHedgeOfASilentWatchIsRetriedInTime(String mode) throws Exception {
         ByHand agent = beforeOneThatKnows(mode);
         agent.answer(agent.next(), list(42, false));
         agent.next(); // the watch is left silent
@@ -345,7 +345,7 @@
     /** After SIGHUP news count as told 4 s later, whatever becomes of the first call to the new address. */
     @ParameterizedTest
     @ValueSource(strings = {"automatic refused", "automatic silent", "subscribe refused", "subscribe silent"})
-    void aMoveIsHeardInTimeThoughTwoCallsFail(String way) throws Exception {
+    void moveToAnotherAgentSucceedsInTimeAfterTwoFailedPolls(String way) throws Exception {
         Server fresh = host(SocketTest::echo);
         ByHand old = new ByHand();
         ByHand agent = new ByHand();
@@ -373,7 +373,7 @@
 
     /** A new configuration that names the same agent leaves the watch as it is, and what that tells is heard. */
     @Test
-    void theSameAddressAgainKeepsTheWatch() throws Exception {
+    void reloadWithTheSameAgentKeepsTheWatch() throws Exception {
         Server host = host(SocketTest::echo);
         GatewayServer node = nodeWith();
         awaitWatches(1);
@@ -393,7 +393,7 @@
 
     /** Twice told to move before the first new agent has answered: only the last one is heard. */
     @Test
-    void aMoveDuringAMoveIsFollowedToTheLastAgent() throws Exception {
+    void secondMoveBeforeAnAnswerFollowsTheLastAgent() throws Exception {
         Server gone = host(SocketTest::echo);
         Server fresh = host(SocketTest::echo);
         GatewayServer node = nodeWith();
--- a/src/test/java/caperrudder/server/discovery/DiscoveryTimingsTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryTimingsTest.java
@@ -21,27 +21,30 @@
     /** {@code graceMs}: short, usual, and longer than the time in which news count as told. */
     @ParameterizedTest
     @CsvSource({"false,250", "false,1000", "true,250", "true,1000", "true,8000"})
-    void eachWayEndsInTime(boolean pushed, double graceMs) {
+    void longestWaysEndWithinTheirLimits(boolean pushed, double graceMs) {
         double line = pushed ? 0 : LINE_MS; // an agent nearby answers at once
         double shortLine = pushed ? 0 : SHORT_LINE_MS;
         for (int seed = 0; seed < SEEDS; seed++) {
             DiscoveryTimings t = new DiscoveryTimings(pushed, graceMs, seed);
             int failures = seed % 12;
-            double rest = t.pauseMs(REFUSES_MS, failures, false);
-            ends(rest + t.firstMs() + t.besideMs(), TOLD_MS, "rest, silence, a call beside it");
+            double rest = t.backoffMs(REFUSES_MS, failures, false);
+            ends(rest + t.firstAnswerMs() + t.hedgeMs(), TOLD_MS, "rest, silence, a call beside it");
             ends(
-                    rest + t.firstMs() + t.pauseMs(REFUSES_MS, failures + 1, true) + shortLine,
+                    rest + t.firstAnswerMs() + t.backoffMs(REFUSES_MS, failures + 1, true) + shortLine,
                     TOLD_MS,
                     "silence, refusal");
-            ends(rest + line + t.pauseMs(REFUSES_MS, failures + 1, false) + line, TOLD_MS, "rest, refusal, rest");
-            ends(DiscoveryTimings.CONNECT_MS + rest + t.firstMs() + line, TOLD_MS, "connect, rest, silence");
-            double watch = t.holdMs() + t.lineMs();
+            ends(rest + line + t.backoffMs(REFUSES_MS, failures + 1, false) + line, TOLD_MS, "rest, refusal, rest");
+            ends(
+                    DiscoveryTimings.CONNECT_TIMEOUT_MS + rest + t.firstAnswerMs() + line,
+                    TOLD_MS,
+                    "connect, rest, silence");
+            double watch = t.watchMs() + t.queueMs();
             ends(watch + line, TOLD_MS, "silent watch");
-            ends(watch + t.pauseMs(REFUSES_MS, 0, true) + shortLine, TOLD_MS, "silent watch, refusal beside it");
-            ends(t.firstMs() + t.pauseMs(REFUSES_MS, 0, true) + line, MOVED_MS, "move, silence, refusal");
-            ends(t.pauseMs(REFUSES_MS, 0, true) + t.firstMs() + line, MOVED_MS, "move, refusal, silence");
+            ends(watch + t.backoffMs(REFUSES_MS, 0, true) + shortLine, TOLD_MS, "silent watch, refusal beside it");
+            ends(t.firstAnswerMs() + t.backoffMs(REFUSES_MS, 0, true) + line, MOVED_MS, "move, silence, refusal");
+            ends(t.backoffMs(REFUSES_MS, 0, true) + t.firstAnswerMs() + line, MOVED_MS, "move, refusal, silence");
             if (pushed) {
-                ends(t.pauseMs(REFUSES_MS, failures, failures == 0), Math.max(75, 0.45 * graceMs), "a rest nearby");
+                ends(t.backoffMs(REFUSES_MS, failures, failures == 0), Math.max(75, 0.45 * graceMs), "a rest nearby");
             }
         }
     }
@@ -52,12 +55,12 @@
 
     /** Those whose calls were refused in one moment, or whose watches fell silent in one, are spread out. */
     @Test
-    void aFleetDoesNotCallTogether() {
+    void jitterSpreadsThePollsOfAFleet() {
         int fleet = 100;
-        assertSpread(fleet, 20, t -> t.pauseMs(REFUSES_MS, 0, false));
-        assertSpread(fleet, 45, t -> t.pauseMs(REFUSES_MS, 0, true));
-        assertSpread(fleet, 38, t -> t.holdMs() + t.lineMs());
-        assertSpread(fleet, 38, t -> t.firstMs());
+        assertSpread(fleet, 20, t -> t.backoffMs(REFUSES_MS, 0, false));
+        assertSpread(fleet, 45, t -> t.backoffMs(REFUSES_MS, 0, true));
+        assertSpread(fleet, 38, t -> t.watchMs() + t.queueMs());
+        assertSpread(fleet, 38, t -> t.firstAnswerMs());
     }
 
     private static void assertSpread(int fleet, int most, ToDoubleFunction<DiscoveryTimings> time) {
--- a/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
+++ b/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
@@ -171,13 +171,13 @@
                 "",
                 " "
             })
-    void aListIsReadAsItsTreeWas(String form) throws IOException {
+    void listReadInPiecesEqualsTheListOfItsTree(String form) throws IOException {
         same(form.formatted(good(1), good(2)));
     }
 
     /** Of each field any value may come, twice, and in any order. */
     @Test
-    void valuesOfTheWrongKindMeanWhatTheyMeantInATree() throws IOException {
+    void valuesOfWrongTypesMeanTheSameAsInATree() throws IOException {
         Random random = new Random(11);
         for (int run = 0; run < 300; run++) {
             StringBuilder entry = new StringBuilder("{\"id\": \"h\"");
@@ -207,7 +207,7 @@
                 "]",
                 "{\"version\": 01, \"servers\": []}"
             })
-    void whatIsNoJsonIsAnError(String form) {
+    void malformedJsonThrows(String form) {
         String text = form.formatted(good(1));
         assertThrows(IOException.class, () -> byTree(text));
         for (int piece : new int[] {1, 7, 1 << 16}) {
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void depthIsBounded() {
+    void tooDeepNestingThrows() {
         assertThrows(IOException.class, () -> read("{\"x\": " + "[".repeat(100_000), 64, ROOMY));
     }
 
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void textsOfManyHostsAreHeldOnce() throws IOException {
+    void textsThatHostsShareAreHeldOnce() throws IOException {
         List<EndpointList.Entry> entries = read(many(300), 64, ROOMY).entries();
         assertEquals(300, entries.size());
         for (int i = 3; i < entries.size(); i++) {
@@ -240,11 +240,12 @@
 
     /** As long as there is memory, and one line says how much there was. */
     @Test
-    void aListOverTheLimitIsRefusedInOneLineWithItsSizeAndTheLimit() throws IOException {
-        long limit = 100L * EndpointListParser.HOST_BYTES;
+    void listOverTheLimitIsRejectedWithItsSizeAndTheLimit() throws IOException {
+        long limit = 100L * EndpointEntryBuilder.HOST_BYTES;
         assertEquals(90, read(many(90), 64, limit).entries().size());
         String text = many(200);
-        EndpointList.TooLong refused = assertThrows(EndpointList.TooLong.class, () -> read(text, 64, limit));
+        EndpointListTooLongException refused =
+                assertThrows(EndpointListTooLongException.class, () -> read(text, 64, limit));
         assertTrue(
                 refused.getMessage()
                         .matches("a list is rejected, of which \\d+ bytes came: its first \\d\\d hosts " + "fill the "
@@ -252,26 +253,29 @@
                 refused.getMessage());
         try (EndpointListReader reader = new EndpointListReader(limit)) {
             reader.announce(text.length());
-            EndpointList.TooLong announced =
-                    assertThrows(EndpointList.TooLong.class, () -> reader.feed(utf8(text), 0, text.length()));
+            EndpointListTooLongException announced =
+                    assertThrows(EndpointListTooLongException.class, () -> reader.feed(utf8(text), 0, text.length()));
             assertTrue(announced.getMessage().startsWith("a list of " + text.length() + " bytes is rejected: "));
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {" ", "{\"x\": 1}, ", "{\"id\": \"h\", \"zone\": \"#\"}, "})
-    void whatHoldsNoHostsIsRefusedOverTheLimitToo(String filling) {
+    void textWithoutHostsOverTheLimitIsRejected(String filling) {
         StringBuilder text = new StringBuilder("{\"version\": 1, \"servers\": [");
         for (int i = 0; text.length() < 200_000; i++) {
             text.append(filling.replace("#", "z" + i));
         }
-        assertThrows(EndpointList.TooLong.class, () -> read(text.append("{}]}").toString(), 1000, 100_000));
+        assertThrows(
+                EndpointListTooLongException.class,
+                () -> read(text.append("{}]}").toString(), 1000, 100_000));
     }
 
     @Test
-    void aTextThatIsAnnouncedOverTheLimitIsNotReadAtAll() {
+    void textAnnouncedOverTheLimitIsRejectedUnread() {
         try (EndpointListReader reader = new EndpointListReader(1000)) {
-            EndpointList.TooLong refused = assertThrows(EndpointList.TooLong.class, () -> reader.announce(1001));
+            EndpointListTooLongException refused =
+                    assertThrows(EndpointListTooLongException.class, () -> reader.announce(1001));
             assertEquals(
                     "a list of 1001 bytes is rejected: its text alone is longer than the 1000 bytes that memory "
                             + "allows for it",
@@ -280,14 +284,14 @@
     }
 
     @Test
-    void aSmallHeapHasRoomForSomeHostsStill() {
-        assertTrue(EndpointListParser.limitBytes(1 << 20) / EndpointListParser.HOST_BYTES >= 900);
-        assertTrue(EndpointListParser.limitBytes(46 << 20) < 46 << 20);
+    void smallHeapStillHoldsSomeHosts() {
+        assertTrue(EndpointListParser.maxBytes(1 << 20) / EndpointEntryBuilder.HOST_BYTES >= 900);
+        assertTrue(EndpointListParser.maxBytes(46 << 20) < 46 << 20);
     }
 
     /** What one host costs is the same in a long list as in a short one: nothing of the text is kept or copied. */
     @Test
-    void theBytesThatAHostTakesToReadDoNotGrowWithTheList() throws IOException {
+    void allocationPerHostDoesNotGrowWithTheList() throws IOException {
         allocatedPerHost(100);
         double few = allocatedPerHost(2_000);
         double all = allocatedPerHost(40_000);
@@ -321,7 +325,7 @@
 
     /** Leniently, as ever: what no list is told by is no fault of the configuration. */
     @Test
-    void knownHostsAreReadWithoutATreeAndTheRestAsEver() throws IOException {
+    void knownEndpointsOfAConfigurationAreReadLeniently() throws IOException {
         assertEquals(
                 byTree("{\"version\": 41, \"servers\": [" + good(1) + "]}"),
                 configured("{\"version\": \"41\", \"servers\": [" + good(1) + "]}")
