--- a/src/main/java/caperrudder/policy/CustomerQuota.java
+++ b/src/main/java/caperrudder/policy/CustomerQuota.java
@@ -68,6 +68,6 @@
     }
 
     double pendingUnits() {
-        return pending.stream().mapToDouble(a -> a.request.units()).sum();
+        return pending.stream().mapToDouble(a -> a.units()).sum();
     }
 }
--- /dev/null
+++ b/src/main/java/caperrudder/policy/RetryAfter.java
@@ -0,0 +1,20 @@
+package caperrudder.policy;
+
+import caperrudder.api.Limits;
+
+/** The time after which a rejected client is told to come back. */
+final class RetryAfter {
+    private static final double MIN_MS = TrafficPolicy.TICK_MS; // nothing changes sooner
+    private static final double NONE = 0; // as the interface says that no time is told
+
+    private final Limits limits;
+
+    RetryAfter(Limits limits) {
+        this.limits = limits;
+    }
+
+    /** The estimate in milliseconds, within the bounds of the settings; 0 where clients are told no time. */
+    double of(double estimateMs) {
+        return limits.retryAfter() ? Math.min(limits.maxRetryAfterMs(), Math.max(MIN_MS, estimateMs)) : NONE;
+    }
+}
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -41,7 +41,9 @@
  */
 public final class TrafficPolicy implements PolicyEvents {
     // Housekeeping
-    private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
+    /** How often timers run: waiting requests expire and messages leave on a tick. */
+    static final double TICK_MS = 20;
+
     private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
     private static final double FORGET_MS = 20_000; // idle so long a customer is forgotten, and not before
     private static final double FILLED = 2; // times the time in which its slowest store fills from nothing
@@ -61,16 +63,12 @@
     private static final double RISE_SHARE = 0.5; // of the even part: the largest step by which a part rises
     private static final double LATE_COST = 2; // requests that one more delays, where all hosts queue
     // Keepers and tells
-    private static final double RETRY_MIN_MS = TICK_MS; // shortest wait that a refusal tells
     private static final int KEEPERS = 2; // gateways of a set that keep its books: one may be down
     private static final double ANSWER_MS = 150; // a due answer is missing after so long
     private static final double SILENT_MS = 1000; // a peer that missed an answer is not asked so long
     private static final double SYNC_MS = 300; // how often a keeper tells the other keeper of a customer
     private static final double OWNER_SHARE = 0.5; // of a ceiling, held by the first keeper; the rest evenly
     // Waiting requests
-    private static final double LATE_WORTH_KEPT = 0.5; // late worth from which a late answer merits a place
-    private static final double FINISH_SHARE = 3; // expected times a held request must still have
-    private static final double HOLD_SHARE = 0.1; // share of the aim for which any request may be held
     private static final int SCAN = 16; // held requests passed over for want of a legal host, a turn
     // Hosts
     private static final double SLOW_GAIN = 0.12; // weight of one answer in a host's slowness
@@ -92,11 +90,6 @@
     private static final int COMPARED = 1024; // hosts compared at most where no home may be used
     private static final int DRAWS = 2; // hosts compared at least; more where own counts can tell them apart
     private static final double SURVEY_MS = 500; // how often the hosts are counted
-    private static final double RETRY_SHARE = 0.2; // further attempts earned by each first one
-    private static final double RETRY_MAX = 20; // most further attempts saved up
-    private static final double WINDOW_SHARE = 0.9; // of a key's window: the rest covers the way to the host
-    private static final double DEADLINE_MS = 40; // refuse or fail this long before a deadline: two beats
-    private static final double UNSENT_SHARE = 0.4; // of its time: then what never left is decided
 
     private final PolicyActions act;
     private TrafficClasses classes = TrafficClasses.NONE; // until started
@@ -117,12 +110,14 @@
     private Settings set;
     private Random random;
     private GossipOutbox outbox;
-    private double startedAt, beatAt, stalled, sweptAt, surveyedAt;
+    private double startedAt, sweptAt, surveyedAt;
     double capacity;
     private double lost; // what cold and bad hosts can't do of it, as last counted
     private double crowd; // requests that a warm host holds on the mean of all reports
     private final OverdueShare lateness = new OverdueShare();
-    private double retryTokens = RETRY_MAX / 2;
+    private EventLoopStalls stalls;
+    private RetryPolicy retries;
+    private RetryAfter retryAfter;
 
     public TrafficPolicy(PolicyActions act) {
         this.act = act;
@@ -143,7 +138,10 @@
         weights = new WeightController(now, classes.all(), limit);
         for (int i = 0; i < settings.plans().size(); i++)
             planNumbers.put(settings.plans().get(i).name(), i);
-        beatAt = sweptAt = surveyedAt = now;
+        sweptAt = surveyedAt = now;
+        stalls = new EventLoopStalls(now, TICK_MS);
+        retries = new RetryPolicy(settings.limits());
+        retryAfter = new RetryAfter(settings.limits());
         if (settings.subscribesToHosts()) act.subscribeToHosts();
         act.startTimer(TICK_MS, "beat");
     }
@@ -179,7 +177,7 @@
         asks.put(r.id(), ask);
         // A stall of ours has used up its time: it is told so at once, before it costs others theirs. It
         // also covers a crowd at a slow start, and could hurt where what was read is younger than the stall.
-        if (r.arrivedMs() < now && now >= giveUpAt(ask)) {
+        if (r.arrivedMs() < now && now >= RequestExpiry.expiresAt(ask)) {
             finish(ask);
             return;
         }
@@ -190,20 +188,20 @@
                 // While this loop is late no answer would be heard in time, so the own part decides.
             default -> question(now, ask, now - r.arrivedMs() < ANSWER_MS / 2 ? 0 : KEEPERS);
         }
-        if (c != null && ask.admitted) changed(now, c);
+        if (c != null && ask.isAdmitted()) changed(now, c);
         post(now);
     }
 
     private void letIn(double now, PendingRequest ask) {
-        ask.admitted = true;
-        CustomerQuota c = ask.customer;
+        ask.markAdmitted();
+        CustomerQuota c = ask.quota();
         if (c != null) noteOpen(now, c, ask.expectedWorkMs());
-        if (c != null) charge(c, ask.request.units(), ask.request.units());
+        if (c != null) charge(c, ask.units(), ask.units());
         scheduler.enqueue(ask);
         release(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
-        boolean held = !ask.done && ask.attempts.isEmpty();
-        if (held && now + scheduler.drainTimeMs(ask.cls) >= giveUpAt(ask)) finish(ask);
+        boolean held = !ask.isClosed() && !ask.hasAttempts();
+        if (held && now + scheduler.drainTimeMs(ask.trafficClass()) >= RequestExpiry.expiresAt(ask)) finish(ask);
     }
 
     /**
@@ -220,17 +218,17 @@
     @Override
     public void requestCompleted(double now, String id, double deadlineMs) {
         PendingRequest ask = asks.get(id);
-        if (ask == null || !ask.arriving) return;
-        ask.arriving = false;
-        ask.arrived = now;
-        ask.deadline = deadlineMs;
-        ask.attempts.stream().filter(a -> a.out).forEach(a -> place(now, a));
+        if (ask == null || !ask.isBodyPending()) return;
+        ask.complete(now, deadlineMs);
+        for (Attempt a : ask.attempts()) {
+            if (a.isOpen()) place(now, a);
+        }
     }
 
     @Override
     public void requestNotReplayable(double now, String id) {
         PendingRequest ask = asks.get(id);
-        if (ask != null) ask.spent = true;
+        if (ask != null) ask.markNotReplayable();
     }
 
     /** The host's work is done once its answer begins; what is left is the client's pace. */
@@ -238,29 +236,27 @@
     public void responseStarted(double now, String id, int attempt) {
         PendingRequest ask = asks.get(id);
         if (ask == null) return;
-        ask.streaming = true;
-        if (attempt >= 0 && attempt < ask.attempts.size()) vacate(ask.attempts.get(attempt));
+        ask.markResponding();
+        Attempt a = ask.attempt(attempt);
+        if (a != null) vacate(a);
         release(now);
     }
 
     @Override
     public void attemptEnded(double now, AttemptResult r) {
         PendingRequest ask = asks.get(r.requestId());
-        if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
-        Attempt a = ask.attempts.get(r.attempt());
-        if (!a.out) return;
-        a.out = false;
-        a.neverRan = r.outcome().neverRan();
-        a.unsent = a.neverRan && r.outcome() != Outcome.REJECTED;
+        Attempt a = ask == null ? null : ask.attempt(r.attempt());
+        if (a == null || !a.isOpen()) return;
+        a.end(r.outcome());
         vacate(a);
         learn(now, ask, a, r);
         if (r.requestClosed()) {
             close(ask);
-        } else if (!ask.done && !ask.anyOut()) {
-            if (mayTryAgain(now, ask) && r.outcome() != Outcome.NOT_SENT) scheduler.requeue(ask);
+        } else if (!ask.isClosed() && !ask.hasOpenAttempt()) {
+            if (retries.takeRetry(now, ask) && r.outcome() != Outcome.NOT_SENT) scheduler.requeue(ask);
             else finish(ask);
         }
-        if (ask.done && !ask.anyOut()) asks.remove(ask.request.id());
+        if (ask.isClosed() && !ask.hasOpenAttempt()) asks.remove(ask.id());
         release(now);
     }
 
@@ -269,8 +265,8 @@
         PendingRequest ask = asks.get(id);
         if (ask == null) return;
         close(ask);
-        for (Attempt a : ask.attempts) {
-            if (a.out && set.limits().cancellation() && !ask.streaming) act.cancelAttempt(id, a.number);
+        for (Attempt a : ask.attempts()) {
+            if (a.isOpen() && set.limits().cancellation() && !ask.isResponding()) act.cancelAttempt(id, a.number());
         }
     }
 
@@ -293,11 +289,8 @@
 
     /** What came while this gateway stood still is read only now: no peer or host is blamed for that. */
     private void noteStall(double now) {
-        double late = now - beatAt - TICK_MS;
-        beatAt = now;
-        if (late <= TICK_MS) return;
-        stalled += late;
-        questions.forEach(a -> a.answerBy += late);
+        double late = stalls.noteTick(now);
+        if (late > 0) questions.forEach(a -> a.answerBy += late);
     }
 
     /** Avoided is what the list says not to use, and what has done so badly that others come before it. */
@@ -440,8 +433,8 @@
     }
 
     private Verdict judge(double now, PendingRequest ask) {
-        CustomerQuota c = ask.customer;
-        double units = ask.request.units();
+        CustomerQuota c = ask.quota();
+        double units = ask.units();
         c.demand += units / DEMAND_MS * 1000;
         Plan p = c.plan;
         boolean excessPays = p.overQuotaValue() > 0 && p.overQuotaValue() >= p.overQuotaCost();
@@ -485,20 +478,19 @@
 
     /** Whether a try is worth its odds of being beyond the quota, which the meter alone tells of. */
     private boolean oddsAdmit(double now, PendingRequest ask) {
-        CustomerQuota c = ask.customer;
-        RequestClass spec = ask.cls.spec();
-        double inTime = ask.cls.shareWithinObjective(ask.expectedWorkMs());
+        CustomerQuota c = ask.quota();
+        RequestClass spec = ask.trafficClass().spec();
+        double inTime = ask.trafficClass().shareWithinObjective(ask.expectedWorkMs());
         double useful = inTime + (1 - inTime) * spec.lateValue();
-        return odds(ask)
-                .admits(now, ask.request.units(), useful, LATE_COST * lateness.share(), now - c.meterAt, c.meterUse);
+        return odds(ask).admits(now, ask.units(), useful, LATE_COST * lateness.share(), now - c.meterAt, c.meterUse);
     }
 
     /** Where clients mark a further try, one has been refused already: its odds are others. */
     private AdmissionOdds odds(PendingRequest ask) {
-        Map<Integer, AdmissionOdds> ofPlans = ask.request.clientRetry() ? retryOdds : firstOdds;
+        Map<Integer, AdmissionOdds> ofPlans = ask.request().clientRetry() ? retryOdds : firstOdds;
         return ofPlans.computeIfAbsent(
-                ask.customer.planNumber,
-                p -> new AdmissionOdds(ask.customer.plan, set.sharing().meterPeriodMs()));
+                ask.quota().planNumber,
+                p -> new AdmissionOdds(ask.quota().plan, set.sharing().meterPeriodMs()));
     }
 
     private boolean openAdmits(double now, CustomerQuota c) {
@@ -517,11 +509,6 @@
         return c.plan.unitsPerSecond() > 0 ? 1000 * (units - c.level) / c.plan.unitsPerSecond() : c.openNextAt - now;
     }
 
-    private double waitTold(double ms) {
-        double longest = set.limits().maxRetryAfterMs();
-        return set.limits().retryAfter() ? Math.min(longest, Math.max(RETRY_MIN_MS, ms)) : 0;
-    }
-
     /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
     private void charge(CustomerQuota c, double units, double ceilingUnits) {
         c.tokens = Math.max(c.tokens - units, -c.plan.burstUnits() / c.spread);
@@ -534,10 +521,10 @@
     }
 
     private void meter(double now, PendingRequest ask, int usedPct) {
-        CustomerQuota c = ask.customer;
+        CustomerQuota c = ask.quota();
         if (usedPct <= 0 || !metered()) return;
         c.meterUse = (usedPct - 1) / 100.0;
-        if (odds(ask).isUnknown(now - c.meterAt)) odds(ask).learn(now, ask.request.units(), c.meterUse);
+        if (odds(ask).isUnknown(now - c.meterAt)) odds(ask).learn(now, ask.units(), c.meterUse);
         if (c.plan.unitsPerSecond() <= 0) { // it tells the most attempts out at once of late, in percent of their limit
             touch(now, c);
             double peak = c.meterUse * c.plan.concurrencyLimit();
@@ -560,12 +547,12 @@
 
     /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
     private void question(double now, PendingRequest ask, int stage) {
-        CustomerQuota c = ask.customer;
+        CustomerQuota c = ask.quota();
         int keeper = stage < c.keepers.length ? keeper(now, c, stage) : -1;
-        if (keeper < 0 || keeper == set.gatewayIndex() || now + ANSWER_MS >= ask.deadline - DEADLINE_MS) {
+        if (keeper < 0 || keeper == set.gatewayIndex() || now + ANSWER_MS >= RequestExpiry.answerDueAt(ask)) {
             c.pending.remove(ask);
-            boolean room = c.plan.unitsPerSecond() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.request.units();
-            decide(now, ask, room && (c.plan.ceilingUnitsPerSecond() <= 0 || c.ceiling >= ask.request.units()));
+            boolean room = c.plan.unitsPerSecond() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.units();
+            decide(now, ask, room && (c.plan.ceilingUnitsPerSecond() <= 0 || c.ceiling >= ask.units()));
             changed(now, c);
             return;
         }
@@ -583,18 +570,18 @@
         if (in) letIn(now, ask);
         if (in) return;
         close(ask);
-        CustomerQuota c = ask.customer;
-        act.reject(ask.request.id(), waitTold(c == null ? FORGET_MS : refillMs(now, c, ask.request.units())));
+        CustomerQuota c = ask.quota();
+        act.reject(ask.id(), retryAfter.of(c == null ? FORGET_MS : refillMs(now, c, ask.units())));
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
     private void missAnswers(double now) {
-        questions.removeIf(a -> a.done || a.admitted);
+        questions.removeIf(a -> a.isClosed() || a.isAdmitted());
         for (PendingRequest ask :
                 questions.stream().filter(a -> now >= a.answerBy).toList()) {
             questions.remove(ask);
             peers[ask.keeper].silentTill = now + SILENT_MS;
-            touch(now, ask.customer);
+            touch(now, ask.quota());
             question(now, ask, ask.stage + 1);
         }
     }
@@ -745,7 +732,7 @@
         }
         double granted = e.grantedUnits();
         for (PendingRequest ask : judged) {
-            double units = ask.request.units();
+            double units = ask.units();
             if (e.uncertain() && ask.stage + 1 < c.keepers.length) {
                 question(now, ask, ask.stage + 1);
                 continue;
@@ -777,55 +764,40 @@
     }
 
     private void send(double now, PendingRequest ask, Endpoint s) {
-        Attempt a = new Attempt(ask, s, now, ask.expectedWorkMs(), stalled);
-        if (ask.attempts.isEmpty()) {
-            retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
-            ask.cls.noteHold(now - ask.arrived);
-            if (ask.customer != null) ask.customer.unsent -= ask.request.units();
+        boolean first = !ask.hasAttempts();
+        Attempt a = ask.addAttempt(s, now);
+        if (first) {
+            retries.noteFirstAttempt();
+            ask.trafficClass().noteHold(now - ask.arrivedAt());
+            if (ask.quota() != null) ask.quota().unsent -= ask.units();
         }
-        ask.attempts.add(a);
         table.unsettled().add(s);
-        if (!ask.arriving) place(now, a);
-        act.sendAttempt(ask.request.id(), s.host().id(), 0);
+        if (!ask.isBodyPending()) place(now, a);
+        act.sendAttempt(ask.id(), s.host().id(), 0);
     }
 
     /** An attempt begins to work; one whose request is still arriving does not yet. */
     private void place(double now, Attempt a) {
-        if (a.placed) return;
-        a.placed = true;
-        a.sentAt = now;
-        a.stalled = stalled;
-        a.server.startAttempt(a.work);
-        atWork.computeIfAbsent(a.server, s -> new LinkedHashSet<>(4)).add(a);
+        if (a.isWorking()) return;
+        a.beginWork(now, stalls.totalMs());
+        a.endpoint().startAttempt(a.expectedWorkMs());
+        atWork.computeIfAbsent(a.endpoint(), s -> new LinkedHashSet<>(4)).add(a);
         limit.acquire();
     }
 
     private void vacate(Attempt a) {
-        if (!a.placed) return;
-        a.placed = false;
+        if (!a.isWorking()) return;
+        a.endWork();
         limit.release();
-        a.server.finishAttempt(a.work);
-        atWork.get(a.server).remove(a);
-        if (a.server.isIdle()) atWork.remove(a.server);
-    }
-
-    /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
-    private double giveUpAt(PendingRequest ask) {
-        double end = ask.deadline - DEADLINE_MS;
-        if (ask.ran() != null) return end;
-        // What reached no host by half of the client's time has cost it that time for nothing.
-        double time = ask.deadline - ask.arrived;
-        if (!ask.leftWhole()) end = Math.min(end, ask.arrived + UNSENT_SHARE * time);
-        double aim = ask.cls.spec().latencyObjectiveMs();
-        double useful = ask.cls.spec().lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrived + aim);
-        double hold = useful - ask.arrived - FINISH_SHARE * ask.expectedWorkMs();
-        return Math.min(end, ask.arrived + Math.max(HOLD_SHARE * aim, hold));
+        a.endpoint().finishAttempt(a.expectedWorkMs());
+        atWork.get(a.endpoint()).remove(a);
+        if (a.endpoint().isIdle()) atWork.remove(a.endpoint());
     }
 
     private void expire(double now) {
         for (TrafficClass c : classes.all()) {
-            for (PendingRequest ask : scheduler.waiting(c, a -> now >= giveUpAt(a))) {
-                c.noteHold(now - ask.arrived);
+            for (PendingRequest ask : scheduler.waiting(c, a -> now >= RequestExpiry.expiresAt(a))) {
+                c.noteHold(now - ask.arrivedAt());
                 finish(ask); // takes it from the queue
             }
         }
@@ -833,30 +805,26 @@
 
     /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
     private void finish(PendingRequest ask) {
-        RequestClass spec = ask.cls.spec();
-        if (ask.admitted && !ask.done) lateness.note(true);
-        boolean harmless = ask.ran() == null
-                || spec.idempotency() == Idempotency.IDEMPOTENT
-                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && spec.deduplicationScope() == DeduplicationScope.ALL;
+        if (ask.isAdmitted() && !ask.isClosed()) lateness.note(true);
+        boolean harmless = RetryPolicy.isRejectionHarmless(ask);
         close(ask);
         // A place may be had once what is held now has left.
-        if (harmless) act.reject(ask.request.id(), waitTold(scheduler.drainTimeMs(ask.cls)));
-        else act.fail(ask.request.id());
+        if (harmless) act.reject(ask.id(), retryAfter.of(scheduler.drainTimeMs(ask.trafficClass())));
+        else act.fail(ask.id());
     }
 
     private void close(PendingRequest ask) {
-        if (!ask.anyOut()) asks.remove(ask.request.id());
-        if (ask.done) return;
-        ask.done = true;
+        if (!ask.hasOpenAttempt()) asks.remove(ask.id());
+        if (ask.isClosed()) return;
+        ask.markClosed();
         scheduler.remove(ask);
-        CustomerQuota c = ask.customer;
+        CustomerQuota c = ask.quota();
         if (c == null) return;
         c.pending.remove(ask);
-        if (!ask.admitted) return;
+        if (!ask.isAdmitted()) return;
         c.open--;
-        if (ask.attempts.isEmpty() || ask.arriving) { // let in but never sent whole: the units go back
-            charge(c, -ask.request.units(), -ask.request.units());
+        if (!ask.hasAttempts() || ask.isBodyPending()) { // let in but never sent whole: the units go back
+            charge(c, -ask.units(), -ask.units());
         }
     }
 
@@ -905,7 +873,7 @@
      */
     private Endpoint pick(double now, PendingRequest ask) {
         int draws = Math.min(homes.size(), DRAWS + 2 * limit.inUse());
-        Endpoint best = best(now, ask, ownCounts() ? homes : drawn(now, ask.cls, draws), false);
+        Endpoint best = best(now, ask, ownCounts() ? homes : drawn(now, ask.trafficClass(), draws), false);
         boolean warm = coldest == null || rampOf(coldest, now) >= 1;
         if (warm) random.nextDouble(); // the draw that no cold host would win
         Endpoint cold = warm ? null : coldInTurn(now, ask);
@@ -918,10 +886,14 @@
 
     /** All hosts; of very many some from a drawn one on, among those that an unsure attempt's key allows. */
     private List<Endpoint> others(PendingRequest ask) {
-        boolean keyed = table.openCount() > COMPARED && ask.cls.spec().idempotency() == Idempotency.IDEMPOTENCY_KEY;
-        Host ran = keyed && ask.ran() != null ? ask.ran().server.host() : null;
+        boolean keyed =
+                table.openCount() > COMPARED && ask.trafficClass().spec().idempotency() == Idempotency.IDEMPOTENCY_KEY;
+        Host ran = keyed && ask.firstThatMayHaveRun() != null
+                ? ask.firstThatMayHaveRun().endpoint().host()
+                : null;
         Collection<RankedEndpoints> legal = table.open(
-                ran, ran == null ? DeduplicationScope.ALL : ask.cls.spec().deduplicationScope());
+                ran,
+                ran == null ? DeduplicationScope.ALL : ask.trafficClass().spec().deduplicationScope());
         int count = legal.stream().mapToInt(RankedEndpoints::size).sum();
         int from = count > COMPARED ? random.nextInt(count) : 0;
         return EndpointTable.round(legal, from, Math.min(COMPARED, count));
@@ -935,11 +907,13 @@
      */
     private Endpoint coldInTurn(double now, PendingRequest ask) {
         double left = random.nextDouble()
-                * homes.stream().mapToDouble(s -> able(now, s, ask.cls)).sum();
+                * homes.stream()
+                        .mapToDouble(s -> able(now, s, ask.trafficClass()))
+                        .sum();
         for (Endpoint s : homes) {
-            left -= able(now, s, ask.cls);
+            left -= able(now, s, ask.trafficClass());
             if (left > 0) continue;
-            if (rampOf(s, now) >= 1 || !legal(now, ask, ask.ran(), s)) return null;
+            if (rampOf(s, now) >= 1 || !legal(now, ask, ask.firstThatMayHaveRun(), s)) return null;
             double credit = s.slowStartCredit() + Math.min(1, coldShare(s, now));
             s.setSlowStartCredit(credit < 1 ? credit : credit - 1);
             return credit < 1 ? null : s;
@@ -993,7 +967,7 @@
         Endpoint best = null;
         double bestScore = Double.MAX_VALUE;
         for (Endpoint s : among) {
-            if (!s.isUsable() || !legal(now, ask, ask.ran(), s)) continue;
+            if (!s.isUsable() || !legal(now, ask, ask.firstThatMayHaveRun(), s)) continue;
             // A cold host has its turns beside; where there is no other, it takes part seldom (rule 4).
             boolean cold = rampOf(s, now) < 1;
             if (cold && (!colds || random.nextDouble() * among.size() > coldShare(s, now))) continue;
@@ -1005,10 +979,10 @@
     }
 
     private double score(double now, PendingRequest ask, Endpoint s) {
-        double doubt = s.latencyPenalty(now, ask.cls.spec().name());
+        double doubt = s.latencyPenalty(now, ask.trafficClass().spec().name());
         if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
-        for (Attempt a : ask.attempts) {
-            if (a.server == s) doubt *= BAD_ANSWER;
+        for (Attempt a : ask.attempts()) {
+            if (a.endpoint() == s) doubt *= BAD_ANSWER;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
         double zone = !ownCounts() || s.host().zone().equals(set.zone()) ? 0 : ZONE_COST * ask.expectedWorkMs();
@@ -1017,47 +991,30 @@
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
     private boolean legal(double now, PendingRequest ask, Attempt ran, Endpoint s) {
-        return repeatable(now, ask, ran)
+        return retries.isRepeatable(now, ask)
                 && (ran == null
-                        || ask.cls.spec().idempotency() != Idempotency.IDEMPOTENCY_KEY
-                        || ask.cls.spec().deduplicationScope().isSharedBy(s.host(), ran.server.host()));
-    }
-
-    private boolean repeatable(double now, PendingRequest ask, Attempt ran) {
-        RequestClass spec = ask.cls.spec();
-        double arrives = now + set.limits().connectTimeoutMs(); // at the latest, on a new connection
-        return ran == null
-                || spec.idempotency() == Idempotency.IDEMPOTENT
-                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && arrives < ran.sentAt + WINDOW_SHARE * spec.deduplicationWindowMs();
-    }
-
-    private boolean mayTryAgain(double now, PendingRequest ask) {
-        boolean may = repeatable(now, ask, ask.ran())
-                && !ask.streaming
-                && !ask.spent
-                && now < giveUpAt(ask)
-                && retryTokens >= 1
-                && ask.attempts.size() < set.limits().maxAttempts();
-        retryTokens -= may ? 1 : 0;
-        return may;
+                        || ask.trafficClass().spec().idempotency() != Idempotency.IDEMPOTENCY_KEY
+                        || ask.trafficClass()
+                                .spec()
+                                .deduplicationScope()
+                                .isSharedBy(s.host(), ran.endpoint().host()));
     }
 
     private void learn(double now, PendingRequest ask, Attempt a, AttemptResult r) {
-        Endpoint s = a.server;
-        TrafficClass c = ask.cls;
+        Endpoint s = a.endpoint();
+        TrafficClass c = ask.trafficClass();
         switch (r.outcome()) {
             case OK -> {
-                s.scores().overall().record(r.latencyMs() / Math.max(1, a.work), SLOW_GAIN, now);
+                s.scores().overall().record(r.latencyMs() / Math.max(1, a.expectedWorkMs()), SLOW_GAIN, now);
                 OutlierScore ofClass = s.scores().of(c.spec().name());
                 ofClass.record(1, SLOW_GAIN, now);
                 s.scores().overall().clearFailures();
                 // A host that fails most requests at once serves some: one good answer clears it of nothing.
                 if (ofClass.latencyPenalty(now) < CLEARED) ofClass.clearFailures();
-                c.noteServed(r.latencyMs(), now - ask.arrived, ask.request.units());
-                lateness.note(now - ask.arrived > c.spec().latencyObjectiveMs());
-                if (ask.customer != null && set.sharing().postPaid() && r.trueUnits() > 0) {
-                    charge(ask.customer, r.trueUnits() - ask.request.units(), 0);
+                c.noteServed(r.latencyMs(), now - ask.arrivedAt(), ask.units());
+                lateness.note(now - ask.arrivedAt() > c.spec().latencyObjectiveMs());
+                if (ask.quota() != null && set.sharing().postPaid() && r.trueUnits() > 0) {
+                    charge(ask.quota(), r.trueUnits() - ask.units(), 0);
                 }
             }
                 // No connection, and again none: down or full, the host takes nothing from us now.
@@ -1077,24 +1034,21 @@
         noteLoad(now, s, r.loadReport());
         if (r.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
         if (r.outcome() == Outcome.OK) {
-            double baseMs = c.latency().baseMs(ask.request.units());
+            double baseMs = c.latency().baseMs(ask.units());
             limit.noteResponse(r.latencyMs(), baseMs, c.spec().latencyObjectiveMs());
         }
-        if (ask.customer != null) meter(now, ask, r.quotaUsedPercent());
+        if (ask.quota() != null) meter(now, ask, r.quotaUsedPercent());
     }
 
     private void watchHealth(double now) {
         for (Endpoint s : new ArrayList<>(atWork.keySet())) {
             for (Attempt a : new ArrayList<>(atWork.getOrDefault(s, new LinkedHashSet<>()))) {
-                double expected = a.work * Math.max(1, s.latencyPenalty(now));
-                double waited = now - a.sentAt - (stalled - a.stalled);
-                if (a.overdue || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
-                a.overdue = true;
-                s.scores().of(a.ask.cls.spec().name()).recordFailure(FAILED_GAIN, now);
-                boolean useful = !a.ask.done && !a.ask.streaming && now + a.work < giveUpAt(a.ask);
-                boolean safe = a.ask.cls.spec().idempotency() != Idempotency.NOT_IDEMPOTENT
-                        && set.limits().cancellation();
-                if (useful && safe && retryTokens >= 1) act.cancelAttempt(a.ask.request.id(), a.number);
+                double expected = a.expectedWorkMs() * Math.max(1, s.latencyPenalty(now));
+                double waited = a.elapsedMs(now, stalls.totalMs());
+                if (a.isOverdue() || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
+                a.markOverdue();
+                s.scores().of(a.request().trafficClass().spec().name()).recordFailure(FAILED_GAIN, now);
+                if (retries.shouldCancel(now, a)) act.cancelAttempt(a.request().id(), a.number());
             }
         }
     }
