--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -14,11 +14,14 @@
 import caperrudder.server.admin.AdminServer;
 import caperrudder.server.admin.MetricsSnapshot;
 import caperrudder.server.admin.RequestCounters;
+import caperrudder.server.config.ConfigurationException;
+import caperrudder.server.config.ConfigurationReloader;
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.discovery.DiscoveryClient;
 import caperrudder.server.discovery.DiscoveryTimings;
 import caperrudder.server.discovery.EndpointList;
 import caperrudder.server.discovery.EndpointListener;
+import caperrudder.server.discovery.KnownEndpoints;
 import caperrudder.server.downstream.DownstreamServer;
 import caperrudder.server.handover.ProcessHandover;
 import caperrudder.server.handover.SnapshotExchange;
@@ -93,7 +96,7 @@
     private final DiscoveryClient discovery;
     private final PeerTransport peers;
     private Mail mail;
-    private EndpointList known; // by the configuration, until the module has been told
+    private Optional<EndpointList> known; // by the configuration, until the module has been told
     private final CountDownLatch drained = new CountDownLatch(1);
     private final RequestCounters tally;
     private volatile MetricsSnapshot metrics;
@@ -105,36 +108,37 @@
     private boolean closing; // in a drain: all connections end with their next answer
     private boolean over; // the drain's time is up: nothing more is sent
 
-    public GatewayServer(GatewayConfig config) {
-        this(config, TrafficPolicy::new);
+    public GatewayServer(GatewayConfig config, Optional<EndpointList> known) {
+        this(config, known, TrafficPolicy::new);
     }
 
     /** With a module of the caller's making. */
-    public GatewayServer(GatewayConfig config, Function<PolicyActions, PolicyEvents> maker) {
-        this(config, maker, Transport.TCP, new NioEventLoopGroup(1));
+    public GatewayServer(
+            GatewayConfig config, Optional<EndpointList> known, Function<PolicyActions, PolicyEvents> maker) {
+        this(config, known, maker, Transport.TCP, new NioEventLoopGroup(1));
     }
 
     public GatewayServer(
             GatewayConfig config,
+            Optional<EndpointList> known,
             Function<PolicyActions, PolicyEvents> maker,
             Transport transport,
             NioEventLoopGroup group) {
-        this.config = config.withoutKnown();
-        this.known = config.known();
+        this.config = config;
+        this.known = known;
         this.transport = transport;
         this.group = group;
         this.loop = group.next();
         this.lag = new EventLoopLag(clock, loop);
-        this.budget = new StreamBufferBudget(config.memoryMb());
-        this.alone = DescriptorBudget.exclusive(config.sockets());
-        this.shared = DescriptorBudget.shared(config.sockets());
+        this.budget = new StreamBufferBudget(config.limits().memoryMb());
+        this.alone = DescriptorBudget.exclusive(config.limits().sockets());
+        this.shared = DescriptorBudget.shared(config.limits().sockets());
         this.module = maker.apply(this);
         this.tally = new RequestCounters(config.settings().classes());
         this.metrics = new MetricsSnapshot(tally.classes(), 0, 0, new ClusterHealth(0, 0));
         this.clients = new DownstreamServer(this);
         this.hosts = new UpstreamClient(this);
-        this.discovery = new DiscoveryClient(
-                loop, config.discovery(), discoveryTimings(config), Optional.ofNullable(config.known()), this);
+        this.discovery = new DiscoveryClient(loop, config.discovery(), discoveryTimings(config), known, this);
         this.peers = new PeerTransport(this);
         this.mail = peers;
     }
@@ -149,11 +153,12 @@
     public static void main(String configFile, String adminAddress) {
         FatalErrorHandler.arm();
         LibraryLog.install();
-        ConfigurationReloader reload =
+        ConfigurationReloader reloader =
                 ConfigurationReloader.onHangup(configFile); // first of all: SIGHUP ends a process that does not take it
         try {
-            GatewayConfig config = GatewayConfig.read(configFile).withAdmin(adminAddress);
-            GatewayServer node = new GatewayServer(config);
+            KnownEndpoints known = new KnownEndpoints();
+            GatewayConfig config = GatewayConfig.read(configFile, known).withAdminAddress(adminAddress);
+            GatewayServer node = new GatewayServer(config, known.list());
             ProcessHandover handover = new ProcessHandover(node, System.getenv("TMPDIR"), node.clock);
             // Before it listens: SIGTERM between the two would end the process with what it had just taken.
             Runtime.getRuntime().addShutdownHook(new Thread(() -> node.drainAndHalt(handover)));
@@ -170,9 +175,9 @@
                             node::isMissed));
             if (node.start(handover.predecessorSnapshot().orElse(null))) {
                 handover.startServing();
-                reload.follow(node);
+                reloader.follow(node::reload);
             }
-        } catch (GatewayConfig.BadConfig | IOException | InterruptedException e) {
+        } catch (ConfigurationException | IOException | InterruptedException e) {
             LOG.fatal("can't start", "cause", e.getMessage());
             Runtime.getRuntime().halt(1);
         }
@@ -211,11 +216,11 @@
 
     /** The second address, where there is one; clients are served without it, too. */
     private void openSecondAddress() {
-        if (config.admin() != null) {
+        if (config.admin().isPresent()) {
             try {
                 new AdminServer(
-                        config.admin(),
-                        DescriptorBudget.exclusive(config.sockets()).admin(),
+                        config.admin().get(),
+                        DescriptorBudget.exclusive(config.limits().sockets()).admin(),
                         this::isReady,
                         this::metrics);
             } catch (IOException e) {
@@ -264,10 +269,8 @@
         serving = true;
         lag.start();
         tell((now, m) -> m.start(now, config.settings()));
-        if (known != null) {
-            endpointsUpdated(HostListKind.CACHED, known.entries());
-            known = null;
-        }
+        known.ifPresent(list -> endpointsUpdated(HostListKind.CACHED, list.entries()));
+        known = Optional.empty(); // it would stay in memory
         if (left != null) {
             LOG.info(
                     "restored snapshot of predecessor",
@@ -384,7 +387,7 @@
     }
 
     public boolean full() {
-        return open.size() >= config.maxOpen();
+        return open.size() >= config.limits().maxOpenRequests();
     }
 
     /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
--- a/src/main/java/caperrudder/server/PeerTransport.java
+++ b/src/main/java/caperrudder/server/PeerTransport.java
@@ -29,13 +29,13 @@
 
     PeerTransport(GatewayServer node) {
         this.node = node;
-        for (int i = 0; i < node.config.peers().size(); i++) {
-            numbers.put(node.config.peers().get(i), i);
+        for (int i = 0; i < node.config.gossip().peers().size(); i++) {
+            numbers.put(node.config.gossip().peers().get(i), i);
         }
     }
 
     void start() {
-        if (node.config.peerListen() == null) {
+        if (node.config.gossip().listen().orElse(null) == null) {
             return;
         }
         // One byte more than a message may have shows which ones are too long.
@@ -44,7 +44,7 @@
                 .channel(NioDatagramChannel.class)
                 .handler(this)
                 .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_BYTES + 1))
-                .bind(node.config.peerListen())
+                .bind(node.config.gossip().listen().orElse(null))
                 .addListener(f -> {
                     if (!f.isSuccess()) {
                         LOG.warn("no messages from peers", "cause", f.cause().getMessage());
@@ -65,9 +65,9 @@
     @Override
     public void send(int peer, byte[] data) {
         InetSocketAddress to = peer == EVERYONE
-                ? node.config.peersAll()
-                : peer >= 0 && peer < node.config.peers().size()
-                        ? node.config.peers().get(peer)
+                ? node.config.gossip().broadcast().orElse(null)
+                : peer >= 0 && peer < node.config.gossip().peers().size()
+                        ? node.config.gossip().peers().get(peer)
                         : null;
         if (channel == null || to == null || data.length > MAX_BYTES) {
             return;
--- a/src/main/java/caperrudder/server/StartupProfileRun.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -1,7 +1,9 @@
 package caperrudder.server;
 
 import caperrudder.server.admin.AdminServer;
+import caperrudder.server.config.ConfigurationReloader;
 import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.discovery.KnownEndpoints;
 import caperrudder.server.handover.ProcessHandover;
 import caperrudder.server.handover.SnapshotCodec;
 import caperrudder.server.handover.SnapshotFormatException;
@@ -52,13 +54,14 @@
         }
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         String address = at.getAddress().getHostAddress() + ':' + port;
+        KnownEndpoints known = new KnownEndpoints();
         GatewayConfig config = GatewayConfig.read(
-                new ByteArrayInputStream(CONFIG.formatted(address).getBytes(StandardCharsets.UTF_8)), true);
-        GatewayServer node = new GatewayServer(config);
+                new ByteArrayInputStream(CONFIG.formatted(address).getBytes(StandardCharsets.UTF_8)), known);
+        GatewayServer node = new GatewayServer(config, known.list());
         ConfigurationReloader.onHangup("");
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try (AdminServer admin = new AdminServer(
-                any, DescriptorBudget.exclusive(config.sockets()).admin(), node::isReady, node::metrics)) {
+                any, DescriptorBudget.exclusive(config.limits().sockets()).admin(), node::isReady, node::metrics)) {
             if (StartupWarmUp.run(config, StartupWarmUp.ENOUGH, BUILD_PATIENCE_MS, () -> false)
                     < StartupWarmUp.ENOUGH) {
                 throw new IOException("the warm-up came to a halt");
--- a/src/main/java/caperrudder/server/StartupWarmUp.java
+++ b/src/main/java/caperrudder/server/StartupWarmUp.java
@@ -10,6 +10,7 @@
 import caperrudder.api.Sharing;
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.config.GatewayConfig;
+import caperrudder.server.config.GossipConfig;
 import caperrudder.server.discovery.EndpointList;
 import caperrudder.server.downstream.RequestParser;
 import caperrudder.server.runtime.Transport;
@@ -41,6 +42,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -150,7 +152,7 @@
                     .sync();
         }
         for (int me = 0; me < 2; me++) {
-            nodes.add(new GatewayServer(of(me), TrafficPolicy::new, TRANSPORT, group));
+            nodes.add(new GatewayServer(of(me), Optional.empty(), TrafficPolicy::new, TRANSPORT, group));
         }
         for (GatewayServer node : nodes) {
             int me = node.config.settings().gatewayIndex();
@@ -192,19 +194,7 @@
                 s.rules(),
                 quick);
         return new GatewayConfig(
-                address(me),
-                null,
-                null,
-                null,
-                List.of(),
-                null,
-                config.sockets(),
-                config.memoryMb(),
-                null,
-                settings,
-                config.connectTimeoutMs(),
-                config.idleMs(),
-                config.maxOpen());
+                address(me), Optional.empty(), config.discovery(), GossipConfig.none(), config.limits(), settings);
     }
 
     private void connect() {
--- a/src/main/java/caperrudder/server/config/JsonTreeReader.java
+++ b/src/main/java/caperrudder/server/config/JsonTreeReader.java
@@ -14,8 +14,9 @@
 import java.io.InputStream;
 
 /**
- * JSON text as a tree, put together from the parser's tokens. The library's own mapper does the same and much else,
- * for which it sets up date formats, locales and introspection: a quarter of the processor time of a start.
+ * Reads JSON text into a tree from the parser's tokens. The library's own mapper does the same and much else, for which
+ * it sets up date formats, locales and introspection: a quarter of the processor time of a start. Has no state; safe
+ * for any thread.
  */
 public final class JsonTreeReader {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -23,23 +24,35 @@
 
     private JsonTreeReader() {}
 
-    /** Takes fields of the outermost object that are not to become part of its tree. */
-    interface Branch {
-        /** Whether it has taken the value, at whose first token the parser stands, to its last one. */
-        boolean takes(String field, JsonParser at) throws IOException;
+    /** Reads fields of the outermost object that are not to become part of its tree. */
+    @FunctionalInterface
+    public interface FieldReader {
+        /**
+         * Reads the value of a field, or leaves it to the tree.
+         *
+         * @param parser stands at the first token of the value; where the value is read it is left at the last one
+         * @return whether the value was read
+         */
+        boolean read(String field, JsonParser parser) throws IOException;
     }
 
-    /** The first value of the text; a missing node where there is none. The parser bounds how deep it may nest. */
+    /**
+     * The first value of the text; a missing node where there is none. The parser bounds how deep it may nest.
+     *
+     * @throws IOException where the text can't be read or is no JSON
+     */
     public static JsonNode read(InputStream text) throws IOException {
-        return read(text, (field, at) -> false);
+        return read(text, (field, parser) -> false);
     }
 
-    static JsonNode read(InputStream text, Branch branch) throws IOException {
+    /** As {@link #read(InputStream)}, but for the fields that {@code fieldReader} takes. */
+    public static JsonNode read(InputStream text, FieldReader fieldReader) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             JsonToken first = parser.nextToken();
-            return first == null
-                    ? MissingNode.getInstance()
-                    : first == JsonToken.START_OBJECT ? object(parser, branch) : value(parser, first);
+            if (first == null) {
+                return MissingNode.getInstance();
+            }
+            return first == JsonToken.START_OBJECT ? object(parser, fieldReader) : value(parser, first);
         }
     }
 
@@ -47,42 +60,36 @@
         if (token == null) {
             throw new JsonParseException(parser, "the text ends inside a value");
         }
-        switch (token) {
-            case START_OBJECT:
-                return object(parser, (field, at) -> false);
-            case START_ARRAY:
-                return array(parser);
-            default:
-                return scalar(parser, token);
-        }
+        return switch (token) {
+            case START_OBJECT -> object(parser, (field, at) -> false);
+            case START_ARRAY -> array(parser);
+            default -> scalar(parser, token);
+        };
     }
 
-    /** The value of one token that is neither a bracket nor a name. */
+    /**
+     * The value of one token that is neither a bracket nor a field's name.
+     *
+     * @throws IOException where the token is one of those
+     */
     public static ValueNode scalar(JsonParser parser, JsonToken token) throws IOException {
-        switch (token) {
-            case VALUE_STRING:
-                return NODES.textNode(parser.getText());
-            case VALUE_NUMBER_INT:
-                return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? NODES.numberNode(parser.getBigIntegerValue())
-                        : NODES.numberNode(parser.getLongValue());
-            case VALUE_NUMBER_FLOAT:
-                return NODES.numberNode(parser.getDoubleValue());
-            case VALUE_TRUE:
-            case VALUE_FALSE:
-                return NODES.booleanNode(token == JsonToken.VALUE_TRUE);
-            case VALUE_NULL:
-                return NODES.nullNode();
-            default:
-                throw new JsonParseException(parser, "unexpected " + token);
-        }
+        return switch (token) {
+            case VALUE_STRING -> NODES.textNode(parser.getText());
+            case VALUE_NUMBER_INT -> parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                    ? NODES.numberNode(parser.getBigIntegerValue())
+                    : NODES.numberNode(parser.getLongValue());
+            case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
+            case VALUE_TRUE, VALUE_FALSE -> NODES.booleanNode(token == JsonToken.VALUE_TRUE);
+            case VALUE_NULL -> NODES.nullNode();
+            default -> throw new JsonParseException(parser, "unexpected " + token);
+        };
     }
 
-    private static ObjectNode object(JsonParser parser, Branch branch) throws IOException {
+    private static ObjectNode object(JsonParser parser, FieldReader fieldReader) throws IOException {
         ObjectNode object = NODES.objectNode();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
             JsonToken first = parser.nextToken();
-            if (first == null || !branch.takes(name, parser)) {
+            if (first == null || !fieldReader.read(name, parser)) {
                 object.set(name, value(parser, first));
             }
         }
@@ -91,8 +98,8 @@
 
     private static ArrayNode array(JsonParser parser) throws IOException {
         ArrayNode array = NODES.arrayNode();
-        for (JsonToken t = parser.nextToken(); t != JsonToken.END_ARRAY; t = parser.nextToken()) {
-            array.add(value(parser, t));
+        for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
+            array.add(value(parser, token));
         }
         return array;
     }
--- a/src/main/java/caperrudder/server/upstream/UpstreamClient.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamClient.java
@@ -56,7 +56,7 @@
     public UpstreamClient(GatewayServer node) {
         this.node = node;
         this.bootstrap = node.transport.client(node.loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
-                Math.max(1, node.config.connectTimeoutMs()));
+                Math.max(1, node.config.limits().connectTimeoutMs()));
         node.loop.schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -157,7 +157,7 @@
 
     private void closeIdle() {
         node.loop.schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
-        double before = node.clock.now() - node.config.idleMs() * IDLE_SHARE;
+        double before = node.clock.now() - node.config.limits().idleConnectionMs() * IDLE_SHARE;
         for (Pool pool : pools.values()) {
             while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSince() < before) {
                 pool.idle.pollFirst().close();
--- a/src/test/java/caperrudder/server/DrainTest.java
+++ b/src/test/java/caperrudder/server/DrainTest.java
@@ -7,11 +7,11 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.Sockets.Client;
 import caperrudder.server.Sockets.Message;
 import caperrudder.server.Sockets.Server;
 import caperrudder.server.admin.MetricsSnapshot;
-import caperrudder.server.config.GatewayConfig;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -115,8 +115,8 @@
     @Test
     void aNodeThatIsToEndBeforeItListensNeverDoes() throws Exception {
         registry = kept(new Sockets.Registry(Sockets.list(1, true)));
-        GatewayServer node = new GatewayServer(GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
-                .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
+        GatewayServer node =
+                Sockets.unstarted(Sockets.config(registry.server.address(), "127.0.0.1:0"), TrafficPolicy::new);
         ends.push(node::stop);
         node.loop.submit(() -> node.end(false)).sync();
         assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
--- a/src/test/java/caperrudder/server/GatewayServerTest.java
+++ b/src/test/java/caperrudder/server/GatewayServerTest.java
@@ -33,6 +33,7 @@
 import caperrudder.server.Sockets.Message;
 import caperrudder.server.Sockets.Registry;
 import caperrudder.server.Sockets.Server;
+import caperrudder.server.config.ConfigurationException;
 import caperrudder.server.config.GatewayConfig;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -397,8 +398,7 @@
         ends.push(node::stop);
         assertNotNull(old.next());
         registry = kept(new Registry(list(1, true, entry("h1", fresh.address(), "ready"))));
-        node.reload(GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
-                .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
+        node.reload(Sockets.configured(Sockets.config(registry.server.address(), "127.0.0.1:0")));
         awaitWatches(1);
         moved.countDown();
         assertNotNull(old.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
@@ -782,13 +782,11 @@
                 "{}",
                 Sockets.config("nowhere", "127.0.0.1:0"),
                 Sockets.config("127.0.0.1:1", "127.0.0.1:0").replace("by_key", "by_luck"))) {
-            Exception e = assertThrows(
-                    RuntimeException.class,
-                    () -> GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper().readTree(bad)));
+            Exception e = assertThrows(RuntimeException.class, () -> Sockets.configured(bad));
             assertEquals(1, e.getMessage().lines().count());
         }
-        GatewayConfig.BadConfig missing =
-                assertThrows(GatewayConfig.BadConfig.class, () -> GatewayConfig.read("/no/such/file"));
+        ConfigurationException missing =
+                assertThrows(ConfigurationException.class, () -> GatewayConfig.readWithoutEndpoints("/no/such/file"));
         assertEquals(1, missing.getMessage().lines().count());
     }
 }
--- a/src/test/java/caperrudder/server/Sockets.java
+++ b/src/test/java/caperrudder/server/Sockets.java
@@ -4,7 +4,9 @@
 import caperrudder.api.PolicyEvents;
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.config.GatewayConfig;
-import com.fasterxml.jackson.databind.ObjectMapper;
+import caperrudder.server.discovery.KnownEndpoints;
+import com.fasterxml.jackson.core.JsonParser;
+import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.IOException;
@@ -239,8 +241,23 @@
     }
 
     static GatewayServer node(String config, Function<PolicyActions, PolicyEvents> module) throws IOException {
-        GatewayServer node = new GatewayServer(GatewayConfig.of(new ObjectMapper().readTree(config)), module);
+        GatewayServer node = unstarted(config, module);
         node.start();
         return node;
     }
+
+    /** The configuration in a text, without its known endpoints. */
+    public static GatewayConfig configured(String config) throws IOException {
+        return GatewayConfig.read(
+                new ByteArrayInputStream(config.getBytes(StandardCharsets.UTF_8)), JsonParser::skipChildren);
+    }
+
+    /** A gateway that has not started. */
+    public static GatewayServer unstarted(String config, Function<PolicyActions, PolicyEvents> module)
+            throws IOException {
+        KnownEndpoints known = new KnownEndpoints();
+        GatewayConfig read =
+                GatewayConfig.read(new ByteArrayInputStream(config.getBytes(StandardCharsets.UTF_8)), known);
+        return new GatewayServer(read, known.list(), module);
+    }
 }
--- a/src/test/java/caperrudder/server/StartupWarmUpTest.java
+++ b/src/test/java/caperrudder/server/StartupWarmUpTest.java
@@ -8,7 +8,6 @@
 import caperrudder.server.Sockets.Message;
 import caperrudder.server.Sockets.Server;
 import caperrudder.server.config.GatewayConfig;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
@@ -19,7 +18,7 @@
     private static final int FEW = 200;
 
     private static GatewayConfig config() throws Exception {
-        return GatewayConfig.of(new ObjectMapper().readTree(Sockets.config("127.0.0.1:1", "127.0.0.1:0")));
+        return Sockets.configured(Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
     }
 
     private static Set<String> loops() {
--- a/src/test/java/caperrudder/server/admin/AdminServerTest.java
+++ b/src/test/java/caperrudder/server/admin/AdminServerTest.java
@@ -6,13 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.GatewayServer;
 import caperrudder.server.SocketTest;
 import caperrudder.server.Sockets;
 import caperrudder.server.Sockets.Client;
 import caperrudder.server.Sockets.Message;
 import caperrudder.server.Sockets.Server;
-import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.runtime.DescriptorBudget;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -75,8 +75,8 @@
     @Test
     void readyOnlyWhileTheListenerIsOpen() throws Exception {
         registry = kept(new Sockets.Registry(Sockets.list(1, true)));
-        GatewayServer node = new GatewayServer(GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
-                .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
+        GatewayServer node =
+                Sockets.unstarted(Sockets.config(registry.server.address(), "127.0.0.1:0"), TrafficPolicy::new);
         ends.push(node::stop);
         AdminServer admin = admin(node);
         assertEquals(503, call(admin, "GET /api/ready").status());
--- a/src/test/java/caperrudder/server/config/JsonTreeReaderTest.java
+++ b/src/test/java/caperrudder/server/config/JsonTreeReaderTest.java
@@ -29,23 +29,23 @@
                 "7",
                 "{\"a\": {\"b\": [true, false, null]}, \"a\": \"the last one stands\"}"
             })
-    void readsWhatTheMapperReads(String text) throws IOException {
+    void treeEqualsThatOfTheMapper(String text) throws IOException {
         assertEquals(new ObjectMapper().readTree(text).toString(), read(text).toString());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1", "{\"a\"", "{\"a\":", "{\"a\": 1,}", "]", "nope"})
-    void refusesWhatIsNoJson(String text) {
+    void malformedJsonThrows(String text) {
         assertThrows(IOException.class, () -> read(text));
     }
 
     @Test
-    void nothingIsAMissingNode() throws IOException {
+    void emptyTextIsAMissingNode() throws IOException {
         assertTrue(read(" ").isMissingNode());
     }
 
     @Test
-    void depthIsBounded() {
+    void tooDeepNestingThrows() {
         assertThrows(IOException.class, () -> read("[".repeat(100_000)));
     }
 }
--- a/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
@@ -24,6 +24,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.channels.spi.SelectorProvider;
+import java.util.Optional;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Executor;
@@ -219,7 +220,8 @@
                             .newSelectStrategy()
                             .calculateStrategy(select, hasTasks);
                 });
-        GatewayServer node = new GatewayServer(configured(agent), TrafficPolicy::new, Transport.TCP, group);
+        GatewayServer node =
+                new GatewayServer(configured(agent), Optional.empty(), TrafficPolicy::new, Transport.TCP, group);
         ends.push(node::stop);
         node.start();
         assertNotNull(agent.next());
@@ -377,7 +379,7 @@
         Server host = host(SocketTest::echo);
         GatewayServer node = nodeWith();
         awaitWatches(1);
-        node.reload(node.config);
+        node.reload(configured(registry.server));
         node.loop.submit(() -> {}).sync(); // it has been taken in
         registry.news.add(list(2, false, entry("h0", host.address(), "ready")));
         awaitWatches(2);
@@ -427,7 +429,6 @@
     }
 
     private static GatewayConfig configured(Server agent) throws IOException {
-        return GatewayConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
-                .readTree(Sockets.config(agent.address(), "127.0.0.1:0")));
+        return Sockets.configured(Sockets.config(agent.address(), "127.0.0.1:0"));
     }
 }
--- a/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
+++ b/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
@@ -1,7 +1,6 @@
 package caperrudder.server.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,6 +11,7 @@
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.config.JsonTreeReader;
 import caperrudder.server.runtime.SocketAddresses;
+import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.sun.management.ThreadMXBean;
@@ -22,6 +22,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -313,26 +314,29 @@
 
     // ---- in a configuration
 
-    private static GatewayConfig configured(String known) throws IOException {
+    private static Optional<EndpointList> configured(String known) throws IOException {
         String config = Sockets.config("127.0.0.1:1", "127.0.0.1:0")
                 .replace("{\"version\": 0, \"full\": true, \"servers\": []}", known);
-        GatewayConfig streamed = GatewayConfig.read(new ByteArrayInputStream(utf8(config)), true);
-        assertEquals(GatewayConfig.of(new ObjectMapper().readTree(config)), streamed);
-        GatewayConfig again = GatewayConfig.read(new ByteArrayInputStream(utf8(config)), false);
-        assertEquals(streamed.withoutKnown(), again);
-        return streamed;
+        KnownEndpoints streamed = new KnownEndpoints();
+        GatewayConfig whole = GatewayConfig.read(new ByteArrayInputStream(utf8(config)), streamed);
+        try (JsonParser tree = new ObjectMapper().readTree(config).path("known").traverse()) {
+            assertEquals(EndpointListParser.parse(tree, EndpointListParser.maxBytes()), streamed.list());
+        }
+        GatewayConfig again = GatewayConfig.read(new ByteArrayInputStream(utf8(config)), JsonParser::skipChildren);
+        assertEquals(whole, again);
+        return streamed.list();
     }
 
     /** Leniently, as ever: what no list is told by is no fault of the configuration. */
     @Test
     void knownEndpointsOfAConfigurationAreReadLeniently() throws IOException {
         assertEquals(
-                byTree("{\"version\": 41, \"servers\": [" + good(1) + "]}"),
-                configured("{\"version\": \"41\", \"servers\": [" + good(1) + "]}")
-                        .known());
-        assertEquals(-1, configured("{\"servers\": [" + good(1) + "]}").known().version());
+                Optional.of(byTree("{\"version\": 41, \"servers\": [" + good(1) + "]}")),
+                configured("{\"version\": \"41\", \"servers\": [" + good(1) + "]}"));
+        assertEquals(
+                -1, configured("{\"servers\": [" + good(1) + "]}").orElseThrow().version());
         for (String none : List.of("{}", "null", "7", "[]", "{\"version\": 3, \"servers\": {\"a\": [1]}}")) {
-            assertNull(configured(none).known());
+            assertTrue(configured(none).isEmpty());
         }
     }
 }
--- a/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
+++ b/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
@@ -15,6 +15,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -95,8 +96,8 @@
         public static void main(String[] args) throws Exception {
             FatalErrorHandler.arm();
             LibraryLog.install();
-            GatewayConfig config = GatewayConfig.read(System.getenv("NODE_CONFIG"));
-            GatewayServer node = new GatewayServer(config, act -> {
+            GatewayConfig config = GatewayConfig.readWithoutEndpoints(System.getenv("NODE_CONFIG"));
+            GatewayServer node = new GatewayServer(config, Optional.empty(), act -> {
                 TrafficPolicy brain = new TrafficPolicy(act);
                 return (PolicyEvents) Proxy.newProxyInstance(
                         PolicyEvents.class.getClassLoader(),
