--- a/src/main/java/caperrudder/scale/HollowFleet.java
+++ b/src/main/java/caperrudder/scale/FleetExperiment.java
@@ -4,8 +4,8 @@
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import caperrudder.api.Settings;
-import caperrudder.scale.DiscoveryStandIn.Entry;
-import caperrudder.scale.DiscoveryStandIn.State;
+import caperrudder.scale.SimulatedDiscovery.Entry;
+import caperrudder.scale.SimulatedDiscovery.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -19,7 +19,7 @@
  * discovery, meter and clients. Each round begins anew from the seed, so that rounds of one process make the same
  * decisions; what one event costs its loop is measured, the stand-ins' own work is not.
  */
-final class HollowFleet {
+final class FleetExperiment {
     private static final double START_MS = 1.8e12; // Unix time; lives of gateways are told by it
     private static final double WAY_MS = 1; // of a message between gateways
     private static final double ANSWER_MS = 20; // the mean of a host's answers, of which each takes half at least
@@ -35,7 +35,7 @@
 
     /** A request that is under way; what its events have cost so far. */
     private static final class Open {
-        final HollowGateway at;
+        final SimulatedGateway at;
         final int tenant;
         final double deadlineMs;
         long nanos;
@@ -45,35 +45,35 @@
         boolean closed;
         final boolean[] ended = new boolean[FleetSettings.MAX_ATTEMPTS];
 
-        Open(HollowGateway at, int tenant, double deadlineMs) {
+        Open(SimulatedGateway at, int tenant, double deadlineMs) {
             this.at = at;
             this.tenant = tenant;
             this.deadlineMs = deadlineMs;
         }
     }
 
-    private final Sizes sizes;
+    private final FleetSize sizes;
     private final Progress progress;
     private final String step;
     private final SimulatedClock clock = new SimulatedClock(START_MS);
-    private final DiscoveryStandIn discovery;
+    private final SimulatedDiscovery discovery;
     private final Tenants tenants;
     private final Random random;
-    private final List<HollowGateway> gateways = new ArrayList<>();
-    private final Map<Integer, HollowGateway> byNumber = new HashMap<>();
+    private final List<SimulatedGateway> gateways = new ArrayList<>();
+    private final Map<Integer, SimulatedGateway> byNumber = new HashMap<>();
     private final Map<String, Open> open = new HashMap<>();
     private final Set<String> met = new HashSet<>();
-    private final Figures figures;
+    private final Measurements figures;
     private PhaseCosts costs = new PhaseCosts();
     private long serial;
 
-    HollowFleet(Sizes sizes, Progress progress, String step) {
+    FleetExperiment(FleetSize sizes, Progress progress, String step) {
         this.sizes = sizes;
         this.progress = progress;
         this.step = step;
-        this.figures = new Figures(sizes.hosts());
+        this.figures = new Measurements(sizes.hosts());
         this.random = new Random(sizes.seed());
-        this.discovery = new DiscoveryStandIn(sizes.hosts(), sizes.seed(), HollowFleet::address);
+        this.discovery = new SimulatedDiscovery(sizes.hosts(), sizes.seed(), FleetExperiment::address);
         this.tenants = new Tenants(
                 sizes.tenants(), sizes.fleet(), sizes.spread(), settings(0).plans());
     }
@@ -86,14 +86,14 @@
         return FleetSettings.of(
                 number,
                 sizes.fleet(),
-                DiscoveryStandIn.zoneName(number % DiscoveryStandIn.ZONES),
+                SimulatedDiscovery.zoneName(number % SimulatedDiscovery.ZONES),
                 sizes.sharing(),
                 sizes.seed() * 1_000_003 + number);
     }
 
     /** All phases, one after the other. */
-    Figures run() {
-        Heap heap = new Heap();
+    Measurements run() {
+        HeapUsage heap = new HeapUsage();
         wholeLists(heap);
         meetTenants(heap);
         requests();
@@ -112,15 +112,15 @@
         progress.at(step + ", " + phase, 0, 1);
     }
 
-    private void wholeLists(Heap heap) {
+    private void wholeLists(HeapUsage heap) {
         begin("whole lists");
         byte[] text = discovery.whole();
         long before = heap.held();
         for (int i = 0; i < sizes.gateways(); i++) {
             int number = (int) ((long) i * sizes.fleet() / sizes.gateways());
             Settings settings = settings(number);
-            HollowGateway[] self = new HollowGateway[1];
-            HollowGateway g = new HollowGateway(
+            SimulatedGateway[] self = new SimulatedGateway[1];
+            SimulatedGateway g = new SimulatedGateway(
                     settings,
                     (kind, name, host, place, delayMs, message) ->
                             carryOut(self[0], kind, name, host, place, delayMs, message));
@@ -152,18 +152,18 @@
         figures.measured("gateway.held.reckoned", (double) (heap.held() - before) / sizes.gateways(), "bytes");
     }
 
-    private void reckon(HollowGateway g) {
+    private void reckon(SimulatedGateway g) {
         clock.after(FIGURES_MS, () -> reckon(g));
         g.tell(costs.reckonings, m -> m.clusterHealth(clock.nowMs()));
     }
 
     /** Each gateway serves one request of each of its tenants. */
-    private void meetTenants(Heap heap) {
+    private void meetTenants(HeapUsage heap) {
         long before = heap.held();
         begin("tenants");
         double gapMs = MS_PER_S / sizes.requestsPerS() / 4;
         long all = 0;
-        for (HollowGateway g : gateways) {
+        for (SimulatedGateway g : gateways) {
             int count = tenants.of(g.number);
             all += count;
             meet(g, 0, count, gapMs);
@@ -175,7 +175,7 @@
         figures.measured("tenant.held", all == 0 ? 0 : (double) (heap.held() - before) / all, "bytes");
     }
 
-    private void meet(HollowGateway g, int place, int count, double gapMs) {
+    private void meet(SimulatedGateway g, int place, int count, double gapMs) {
         if (place < count) {
             clock.after(gapMs, () -> {
                 request(g, tenants.number(g.number, place));
@@ -211,14 +211,14 @@
     /** So many requests at each gateway, at the rate, each of one of its tenants. */
     private void load(int count) {
         double gapMs = MS_PER_S / sizes.requestsPerS();
-        for (HollowGateway g : gateways) {
+        for (SimulatedGateway g : gateways) {
             if (tenants.of(g.number) > 0) {
                 clock.after(random.nextDouble() * gapMs, () -> ask(g, 0, count, gapMs));
             }
         }
     }
 
-    private void ask(HollowGateway g, int done, int count, double gapMs) {
+    private void ask(SimulatedGateway g, int done, int count, double gapMs) {
         if (done < count) {
             request(g, tenants.number(g.number, random.nextInt(tenants.of(g.number))));
             clock.after(gapMs, () -> ask(g, done + 1, count, gapMs));
@@ -242,7 +242,7 @@
 
     private void idle() {
         begin("idle");
-        long gcBefore = Heap.collectionMs();
+        long gcBefore = HeapUsage.collectionMs();
         for (int s = 0; s < sizes.idleS(); s++) {
             clock.pass(MS_PER_S);
             progress.at(step + ", idle seconds", s, sizes.idleS());
@@ -254,7 +254,7 @@
         figures.ms("idle.second.figures.cpu", costs.reckonings.totalNanos() / each);
         figures.ms("idle.beat.p99.cpu", costs.beats.nanosAt(99));
         figures.measured("idle.second.allocated", costs.totalBytes() / each, "bytes");
-        figures.measured("idle.second.collections", (Heap.collectionMs() - gcBefore) / each, "ms");
+        figures.measured("idle.second.collections", (HeapUsage.collectionMs() - gcBefore) / each, "ms");
         figures.ms("idle.longest.cpu", costs.longestNanos());
         figures.ms("idle.longest.wall", costs.longestWallNanos());
         figures.count("idle.messages", costs.messages / each, "messages a second");
@@ -281,7 +281,7 @@
     }
 
     private void tellAll(byte[] text) {
-        for (HollowGateway g : gateways) {
+        for (SimulatedGateway g : gateways) {
             g.tellHosts(costs.reading, costs.telling, costs.lists, clock.nowMs(), text);
         }
     }
@@ -326,7 +326,7 @@
 
     // ---- stand-ins
 
-    private void request(HollowGateway g, int tenant) {
+    private void request(SimulatedGateway g, int tenant) {
         double now = clock.nowMs();
         String id = "q" + serial++;
         Request r = new Request(
@@ -359,7 +359,7 @@
     }
 
     private void carryOut(
-            HollowGateway g, Outbox.Kind kind, String name, String host, int number, double delayMs, byte[] message) {
+            SimulatedGateway g, RecordedActions.Kind kind, String name, String host, int number, double delayMs, byte[] message) {
         switch (kind) {
             case TIMER -> clock.after(delayMs, () -> g.tell(costs.beats, m -> m.timerFired(clock.nowMs(), name)));
             case SEND -> send(g, name, host);
@@ -381,11 +381,11 @@
         }
     }
 
-    private void carry(HollowGateway from, int to, byte[] message) {
+    private void carry(SimulatedGateway from, int to, byte[] message) {
         costs.messages++;
         costs.messageBytes += message.length;
         costs.heard.merge(to, 1, Integer::sum);
-        HollowGateway g = byNumber.get(to);
+        SimulatedGateway g = byNumber.get(to);
         if (g != null) {
             clock.after(
                     WAY_MS,
@@ -394,7 +394,7 @@
     }
 
     /** A host's answer comes after a time of its own; a silent one lets a connect end in vain. */
-    private void send(HollowGateway g, String id, String host) {
+    private void send(SimulatedGateway g, String id, String host) {
         Open o = open.get(id);
         Entry e = discovery.entry(host);
         double sentAt = clock.nowMs();
@@ -426,7 +426,7 @@
         });
     }
 
-    private void ended(HollowGateway g, String id, int attempt, String host, Outcome outcome, double tookMs) {
+    private void ended(SimulatedGateway g, String id, int attempt, String host, Outcome outcome, double tookMs) {
         Open o = open.get(id);
         if (o == null || o.ended[attempt]) {
             return;
--- a/src/main/java/caperrudder/scale/Sizes.java
+++ b/src/main/java/caperrudder/scale/FleetSize.java
@@ -7,7 +7,7 @@
  * which {@code gateways} are built, spread evenly; requests are those of each gateway, {@code atOnce} the hosts that a
  * zone's loss takes in one moment, {@code spread} the gateways of a tenant's set.
  */
-record Sizes(
+record FleetSize(
         int gateways,
         int fleet,
         int hosts,
@@ -27,7 +27,7 @@
     private static final double READING_BYTES = 2500; // a host's line, as text, tree and stand-in
     private static final double BASE_BYTES = 96 << 20;
 
-    Sizes {
+    FleetSize {
         check(gateways >= 1, "--gateways must be at least 1");
         check(fleet >= gateways, "--fleet must be at least --gateways (" + gateways + ")");
         check(fleet <= FLEET_MAX, "--fleet must be at most " + FLEET_MAX);
--- a/src/main/java/caperrudder/scale/Heap.java
+++ b/src/main/java/caperrudder/scale/HeapUsage.java
@@ -6,11 +6,11 @@
 import java.lang.management.MemoryType;
 
 /** The heap of this process: what is held after a collection, and what was used at the most. */
-final class Heap {
+final class HeapUsage {
     private static final int COLLECTIONS = 4; // the serial collector leaves some garbage at all but each fourth
 
     /** The peak counts from here on. */
-    Heap() {
+    HeapUsage() {
         pools().forEach(MemoryPoolMXBean::resetPeakUsage);
     }
 
@@ -36,7 +36,7 @@
     }
 
     /** The peaks of the heap's parts together: an upper bound, and what is not collected yet is in it. */
-    void tellPeak(Figures figures) {
+    void tellPeak(Measurements figures) {
         long peak = pools().stream().mapToLong(p -> p.getPeakUsage().getUsed()).sum();
         figures.measured("process.heap.peak", peak, "bytes");
     }
--- a/src/main/java/caperrudder/scale/LoopbackStandIns.java
+++ b/src/main/java/caperrudder/scale/LoopbackServers.java
@@ -1,7 +1,7 @@
 package caperrudder.scale;
 
-import caperrudder.scale.DiscoveryStandIn.Entry;
-import caperrudder.scale.DiscoveryStandIn.State;
+import caperrudder.scale.SimulatedDiscovery.Entry;
+import caperrudder.scale.SimulatedDiscovery.State;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.Closeable;
@@ -21,7 +21,7 @@
  * Discovery and hosts on loopback. All hosts of the list share one address, so that thousands need no more sockets
  * than a gateway opens.
  */
-final class LoopbackStandIns implements Closeable {
+final class LoopbackServers implements Closeable {
     private static final Pattern WATCH = Pattern.compile("from=(\\d+)&hold_ms=(\\d+)");
     private static final byte[] BODY = "ok".getBytes(StandardCharsets.US_ASCII);
     private static final int OK = 200;
@@ -34,17 +34,17 @@
     private final HttpServer agent;
     private final HttpServer host;
     private final int answerMs;
-    private final DiscoveryStandIn discovery;
+    private final SimulatedDiscovery discovery;
     private final byte[] whole;
     private Entry changed; // by the latest change
     private final AtomicLong wholeLists = new AtomicLong();
     private final AtomicLong calls = new AtomicLong();
     private final AtomicLong bytesTold = new AtomicLong();
 
-    LoopbackStandIns(int hosts, long seed, int answerMs) throws IOException {
+    LoopbackServers(int hosts, long seed, int answerMs) throws IOException {
         this.answerMs = answerMs;
         this.host = serve(this::answer);
-        this.discovery = new DiscoveryStandIn(hosts, seed, n -> address(host));
+        this.discovery = new SimulatedDiscovery(hosts, seed, n -> address(host));
         this.whole = discovery.whole();
         this.agent = serve(this::list);
     }
--- a/src/main/java/caperrudder/scale/Figure.java
+++ b/src/main/java/caperrudder/scale/Measurement.java
@@ -4,4 +4,4 @@
  * One measured figure of a run at one size. A {@code count} comes out the same each time from the same options, seed
  * and program; what is not one depends on the machine.
  */
-record Figure(int hosts, String name, double value, String unit, boolean count) {}
+record Measurement(int hosts, String name, double value, String unit, boolean count) {}
--- a/src/main/java/caperrudder/scale/MemoryBound.java
+++ b/src/main/java/caperrudder/scale/MemoryLimit.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 
 /** Keeps a run under half of the machine's memory: what a heap may grow to, and what the sizes will need of it. */
-final class MemoryBound {
+final class MemoryLimit {
     private static final double MB = 1 << 20;
 
-    private MemoryBound() {}
+    private MemoryLimit() {}
 
     static long physicalBytes() {
         return ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean()).getTotalMemorySize();
--- a/src/main/java/caperrudder/scale/Output.java
+++ b/src/main/java/caperrudder/scale/OutputOptions.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 
 /** The options that all measurements share, and the printing of what came of them. */
-final class Output {
+final class OutputOptions {
     @Option(
             names = "--seed",
             defaultValue = "1",
@@ -20,8 +20,8 @@
     private boolean json;
 
     /** A measurement at one size. */
-    interface Measurement<T> {
-        List<Figure> run(T size, Progress progress) throws Exception;
+    interface Experiment<T> {
+        List<Measurement> run(T size, Progress progress) throws Exception;
     }
 
     long seed() {
@@ -29,21 +29,21 @@
     }
 
     /** Measures size by size and prints lines after each, or one JSON object in the end. */
-    <T> void print(PrintWriter out, Map<String, Object> options, List<T> sizes, Measurement<T> measurement)
+    <T> void print(PrintWriter out, Map<String, Object> options, List<T> sizes, Experiment<T> experiment)
             throws Exception {
-        List<Figure> figures = new ArrayList<>();
+        List<Measurement> figures = new ArrayList<>();
         Progress progress = new Progress(System.err);
         for (T size : sizes) {
-            List<Figure> told = measurement.run(size, progress);
+            List<Measurement> told = experiment.run(size, progress);
             figures.addAll(told);
             if (!json) {
-                out.print(Figures.text(told));
+                out.print(Measurements.text(told));
                 out.flush();
             }
         }
         options.put("seed", seed);
         if (json) {
-            out.println(Figures.json(options, figures));
+            out.println(Measurements.json(options, figures));
         }
     }
 }
--- a/src/main/java/caperrudder/scale/ProcessCommand.java
+++ b/src/main/java/caperrudder/scale/ProcessCommand.java
@@ -46,7 +46,7 @@
             long seed) {
         Plan {
             check(hosts >= 1 && hosts <= 1_000_000, "--hosts must be from 1 to 1000000");
-            check(fleet >= 1 && fleet <= Sizes.FLEET_MAX, "--fleet must be from 1 to " + Sizes.FLEET_MAX);
+            check(fleet >= 1 && fleet <= FleetSize.FLEET_MAX, "--fleet must be from 1 to " + FleetSize.FLEET_MAX);
             check(memoryMb >= 32 && memoryMb <= 4096, "--memory-mb must be from 32 to 4096");
             check(idleS >= 1 && idleS <= 60, "--idle must be from 1 to 60 seconds");
             check(loadS >= 0 && loadS <= 60, "--load must be from 0 to 60 seconds");
@@ -130,7 +130,7 @@
     private int answerMs;
 
     @Mixin
-    private Output output;
+    private OutputOptions output;
 
     @Override
     public Integer call() throws Exception {
@@ -144,7 +144,7 @@
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage());
         }
-        output.print(spec.commandLine().getOut(), options(plans.get(0)), plans, (plan, progress) -> new ProcessRun(
+        output.print(spec.commandLine().getOut(), options(plans.get(0)), plans, (plan, progress) -> new ProcessExperiment(
                         plan, progress)
                 .run());
         return CommandLine.ExitCode.OK;
--- a/src/main/java/caperrudder/scale/ProcessRun.java
+++ b/src/main/java/caperrudder/scale/ProcessExperiment.java
@@ -26,7 +26,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /** One real process at one size: started, awaited, left idle, loaded, told changes, ended. */
-final class ProcessRun {
+final class ProcessExperiment {
     private static final int READY_S = 60;
     private static final int LIST_S = 20;
     private static final int END_S = 10;
@@ -45,23 +45,23 @@
 
     private final ProcessCommand.Plan plan;
     private final Progress progress;
-    private final Figures figures;
+    private final Measurements figures;
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(CALL_S))
             .build();
     private long serial; // of requests: each has an id of its own
 
-    ProcessRun(ProcessCommand.Plan plan, Progress progress) {
+    ProcessExperiment(ProcessCommand.Plan plan, Progress progress) {
         this.plan = plan;
         this.progress = progress;
-        this.figures = new Figures(plan.hosts());
+        this.figures = new Measurements(plan.hosts());
     }
 
-    List<Figure> run() throws IOException, InterruptedException {
+    List<Measurement> run() throws IOException, InterruptedException {
         Path dir = Files.createTempDirectory("caperrudder-scale");
         Process process = null;
-        try (LoopbackStandIns standIns = new LoopbackStandIns(plan.hosts(), plan.seed(), plan.answerMs())) {
+        try (LoopbackServers standIns = new LoopbackServers(plan.hosts(), plan.seed(), plan.answerMs())) {
             int port = freePort();
             int adminPort = freePort();
             Path config = dir.resolve("config.json");
@@ -91,7 +91,7 @@
         return figures.all();
     }
 
-    private void phases(Process process, LoopbackStandIns standIns, int port, int adminPort)
+    private void phases(Process process, LoopbackServers standIns, int port, int adminPort)
             throws IOException, InterruptedException {
         boolean taken = await(process, LIST_S, () -> listed(adminPort) == plan.hosts());
         figures.measured("process.list.taken", taken ? 1 : 0, "list");
@@ -180,7 +180,7 @@
                 .build();
     }
 
-    private void changes(Process process, LoopbackStandIns standIns, double idleMs) throws InterruptedException {
+    private void changes(Process process, LoopbackServers standIns, double idleMs) throws InterruptedException {
         if (plan.changes() == 0) {
             return;
         }
@@ -262,7 +262,7 @@
                 .put("seed", Long.toHexString(plan.seed()));
         root.putObject("limits").put("memory_mb", plan.memoryMb());
         ObjectNode settings = root.putObject("settings");
-        Map<String, String> pairs = FleetSettings.pairs(0, plan.fleet(), DiscoveryStandIn.zoneName(0), Sharing.METER);
+        Map<String, String> pairs = FleetSettings.pairs(0, plan.fleet(), SimulatedDiscovery.zoneName(0), Sharing.METER);
         pairs.forEach(settings::put);
         return root.toString();
     }
--- a/src/main/java/caperrudder/scale/Outbox.java
+++ b/src/main/java/caperrudder/scale/RecordedActions.java
@@ -7,7 +7,7 @@
  * What a module did during one event, to be carried out after it, as the real gateway does. Kept in arrays that are
  * used again: noting an action allocates nothing, so that what is measured is the module's own.
  */
-final class Outbox implements PolicyActions {
+final class RecordedActions implements PolicyActions {
     enum Kind {
         SEND,
         CANCEL,
--- a/src/main/java/caperrudder/scale/ScaleCommand.java
+++ b/src/main/java/caperrudder/scale/ScaleCommand.java
@@ -30,7 +30,7 @@
                     + " messages between gateways, many in one process, on a simulated clock, with stand-ins for hosts,"
                     + " discovery and the meter. One line a figure; processor time is that of the thread that tells a"
                     + " gateway its events, without collections of garbage.",
-            "Figures depend on java's own flags: measure with those of 'run' in deploy/balancer.toml where a gateway's"
+            "Measurements depend on java's own flags: measure with those of 'run' in deploy/balancer.toml where a gateway's"
                     + " costs count, and with a larger -Xmx where many gateways are built."
         },
         exitCodeListHeading = "Exit codes:%n",
@@ -129,7 +129,7 @@
     private int rounds;
 
     @Mixin
-    private Output output;
+    private OutputOptions output;
 
     /** Runs the command; the exit code: 0, 1 where a measurement failed, 2 for options that make no sense. */
     public static int run(String... args) {
@@ -159,21 +159,21 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Sizes> sizes = checked();
+        List<FleetSize> sizes = checked();
         output.print(spec.commandLine().getOut(), options(sizes), sizes, this::measure);
         return CommandLine.ExitCode.OK;
     }
 
     /** All sizes, before the first is measured. */
-    private List<Sizes> checked() {
+    private List<FleetSize> checked() {
         try {
             if (rounds < 1 || rounds > ROUNDS_MAX) {
                 throw new IllegalArgumentException("--rounds must be from 1 to " + ROUNDS_MAX);
             }
-            List<Sizes> all = new ArrayList<>();
+            List<FleetSize> all = new ArrayList<>();
             for (int n : hosts) {
                 int told = fleet == null ? gateways : fleet;
-                Sizes s = new Sizes(
+                FleetSize s = new FleetSize(
                         gateways,
                         told,
                         n,
@@ -186,7 +186,7 @@
                         idleS,
                         sharing,
                         output.seed());
-                MemoryBound.check(s.estimatedBytes(), Runtime.getRuntime().maxMemory(), MemoryBound.physicalBytes());
+                MemoryLimit.check(s.estimatedBytes(), Runtime.getRuntime().maxMemory(), MemoryLimit.physicalBytes());
                 all.add(s);
             }
             return all;
@@ -195,11 +195,11 @@
         }
     }
 
-    private List<Figure> measure(Sizes s, Progress progress) {
-        Figures last = null;
+    private List<Measurement> measure(FleetSize s, Progress progress) {
+        Measurements last = null;
         for (int round = 1; round <= rounds; round++) {
             String step = s.hosts() + " hosts, round " + round + " of " + rounds;
-            Figures figures = new HollowFleet(s, progress, step).run();
+            Measurements figures = new FleetExperiment(s, progress, step).run();
             if (last != null && !last.counts().equals(figures.counts())) {
                 throw new IllegalStateException(
                         "rounds of one seed differ in their counts: " + last.counts() + " and " + figures.counts());
@@ -209,8 +209,8 @@
         return last.all();
     }
 
-    private Map<String, Object> options(List<Sizes> sizes) {
-        Sizes first = sizes.get(0);
+    private Map<String, Object> options(List<FleetSize> sizes) {
+        FleetSize first = sizes.get(0);
         Map<String, Object> told = new LinkedHashMap<>();
         told.put("hosts", hosts);
         told.put("gateways", gateways);
@@ -220,7 +220,7 @@
         told.put("requests", requests);
         told.put("rate_per_s", rate);
         told.put("changes", changes);
-        told.put("at_once", sizes.stream().map(Sizes::atOnce).toList());
+        told.put("at_once", sizes.stream().map(FleetSize::atOnce).toList());
         told.put("idle_s", idleS);
         told.put("sharing", sharing.name().toLowerCase(java.util.Locale.ROOT));
         told.put("rounds", rounds);
--- a/src/main/java/caperrudder/scale/DiscoveryStandIn.java
+++ b/src/main/java/caperrudder/scale/SimulatedDiscovery.java
@@ -10,7 +10,7 @@
 import java.util.function.IntFunction;
 
 /** Discovery as the protocol's page gives it: numbered hosts with states, and the texts that it answers with. */
-final class DiscoveryStandIn {
+final class SimulatedDiscovery {
     static final int ZONES = 8;
     private static final int CELLS = 16;
     private static final int BYTES_AN_ENTRY = 160;
@@ -58,7 +58,7 @@
     private long version = 1;
 
     /** So many ready hosts, in zones by turns; each has the address that its number is given. */
-    DiscoveryStandIn(int hosts, long seed, IntFunction<String> address) {
+    SimulatedDiscovery(int hosts, long seed, IntFunction<String> address) {
         Random random = new Random(seed);
         while (entries.size() < hosts) {
             String id = String.format(Locale.ROOT, "s-%08x", random.nextInt());
--- a/src/main/java/caperrudder/scale/HollowGateway.java
+++ b/src/main/java/caperrudder/scale/SimulatedGateway.java
@@ -10,22 +10,22 @@
 import java.io.UncheckedIOException;
 
 /** The real module and the real reading of lists without sockets: each event is told alone, and measured. */
-final class HollowGateway {
+final class SimulatedGateway {
     /** Something that the module is told. */
     interface Event {
         void tell(PolicyEvents module);
     }
 
     final int number;
-    private final Outbox outbox = new Outbox();
+    private final RecordedActions outbox = new RecordedActions();
     private final TrafficPolicy module = new TrafficPolicy(outbox);
-    private final Outbox.Carrier carrier;
+    private final RecordedActions.Carrier carrier;
     private EndpointLists lastRead;
     private long nanos; // of the last event, as are the next two
     private long bytes;
     private long wallNanos;
 
-    HollowGateway(Settings settings, Outbox.Carrier carrier) {
+    SimulatedGateway(Settings settings, RecordedActions.Carrier carrier) {
         this.number = settings.gatewayIndex();
         this.carrier = carrier;
     }
--- a/src/test/java/caperrudder/scale/StandInTest.java
+++ b/src/test/java/caperrudder/scale/SimulatedDiscoveryTest.java
@@ -7,8 +7,8 @@
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
 import caperrudder.api.Settings;
-import caperrudder.scale.DiscoveryStandIn.Entry;
-import caperrudder.scale.DiscoveryStandIn.State;
+import caperrudder.scale.SimulatedDiscovery.Entry;
+import caperrudder.scale.SimulatedDiscovery.State;
 import caperrudder.server.discovery.EndpointLists;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What stands in for discovery, tenants and the meter does as the protocol's page says. */
-class StandInTest {
+class SimulatedDiscoveryTest {
     private static EndpointLists read(byte[] text) throws IOException {
         return EndpointLists.read(new ByteArrayInputStream(text));
     }
 
     @Test
     void theRealReadingUnderstandsDiscoverysTexts() throws IOException {
-        DiscoveryStandIn discovery = new DiscoveryStandIn(20, 3, n -> "127.0.0.1:" + (1 + n));
+        SimulatedDiscovery discovery = new SimulatedDiscovery(20, 3, n -> "127.0.0.1:" + (1 + n));
         EndpointLists whole = read(discovery.whole());
         assertTrue(whole.full());
         assertEquals(1, whole.version());
