--- a/src/main/java/caperrudder/scale/FleetSize.java
+++ b/src/main/java/caperrudder/scale/FleetSize.java
@@ -1,11 +1,22 @@
 package caperrudder.scale;
 
-import caperrudder.scale.FleetSettings.Sharing;
+import caperrudder.scale.FleetSettings.UsageSharing;
 
 /**
- * How large a fleet is measured, and with what. {@code fleet} is the number of gateways that the settings tell of, of
- * which {@code gateways} are built, spread evenly; requests are those of each gateway, {@code atOnce} the hosts that a
- * zone's loss takes in one moment, {@code spread} the gateways of a tenant's set.
+ * How large a simulated fleet is, and how long it is measured.
+ *
+ * @param gateways those that are built, spread evenly over the fleet
+ * @param fleet the gateways that the settings speak of, of which those built are some
+ * @param hosts the hosts in discovery's list
+ * @param tenants the tenants of the whole fleet
+ * @param spread the gateways in a tenant's replica set
+ * @param requests requests to each gateway
+ * @param requestsPerSecond their rate at each gateway
+ * @param changes updates of one host
+ * @param atOnce the hosts that an outage takes at once
+ * @param idleSeconds simulated seconds without requests
+ * @param sharing how gateways learn what the others admitted
+ * @param seed of all that is drawn
  */
 record FleetSize(
         int gateways,
@@ -14,19 +25,25 @@
         int tenants,
         int spread,
         int requests,
-        double requestsPerS,
+        double requestsPerSecond,
         int changes,
         int atOnce,
-        int idleS,
-        Sharing sharing,
+        int idleSeconds,
+        UsageSharing sharing,
         long seed) {
-    static final int FLEET_MAX = 65_535; // a message between gateways has two bytes for a number
-    private static final double PER_HOST_BYTES = 800; // in one module, its strings counted
-    private static final double PER_TENANT_BYTES = 600;
-    private static final double PER_PEER_BYTES = 240;
-    private static final double READING_BYTES = 2500; // a host's line, as text, tree and stand-in
-    private static final double BASE_BYTES = 96 << 20;
+    /** The most gateways: a message between them has two bytes for a number. */
+    static final int FLEET_MAX = 65_535;
 
+    private static final double BYTES_PER_HOST = 800; // in one policy, its strings counted
+    private static final double BYTES_PER_TENANT = 600;
+    private static final double BYTES_PER_PEER = 240;
+    private static final double BYTES_PER_LISTED_HOST = 2500; // its line as text, tree and simulated host
+    private static final double BYTES_OF_PROCESS = 96 << 20;
+    private static final double BYTES_PER_TENANT_METER = 12;
+    private static final double RATE_MAX = 100_000;
+    private static final int IDLE_SECONDS_MAX = 3600;
+
+    /** Throws IllegalArgumentException, with a message that names the option, for a size that makes no sense. */
     FleetSize {
         check(gateways >= 1, "--gateways must be at least 1");
         check(fleet >= gateways, "--fleet must be at least --gateways (" + gateways + ")");
@@ -36,11 +53,11 @@
         check(spread >= 1 && spread <= fleet, "--spread must be from 1 to the size of the fleet (" + fleet + ")");
         check(requests >= 0, "--requests must not be negative");
         check(
-                requestsPerS > 0 && requestsPerS <= 100_000,
+                requestsPerSecond > 0 && requestsPerSecond <= RATE_MAX,
                 "--rate must be above 0 and at most 100000 requests a second");
         check(changes >= 0, "--changes must not be negative");
         check(atOnce >= 0 && atOnce <= hosts, "--at-once must be from 0 to --hosts (" + hosts + ")");
-        check(idleS >= 1 && idleS <= 3600, "--idle must be from 1 to 3600 seconds");
+        check(idleSeconds >= 1 && idleSeconds <= IDLE_SECONDS_MAX, "--idle must be from 1 to 3600 seconds");
     }
 
     private static void check(boolean holds, String otherwise) {
@@ -49,12 +66,10 @@
         }
     }
 
-    /** What a run will hold at most, roughly and from above. */
+    /** The bytes that a run will need at most, roughly and from above. */
     double estimatedBytes() {
         double tenantsEach = Math.min(tenants, (double) tenants * spread / fleet + 1);
-        return gateways * (hosts * PER_HOST_BYTES + tenantsEach * PER_TENANT_BYTES + fleet * PER_PEER_BYTES)
-                + hosts * READING_BYTES
-                + tenants * 12.0
-                + BASE_BYTES;
+        double gateway = hosts * BYTES_PER_HOST + tenantsEach * BYTES_PER_TENANT + fleet * BYTES_PER_PEER;
+        return gateways * gateway + hosts * BYTES_PER_LISTED_HOST + tenants * BYTES_PER_TENANT_METER + BYTES_OF_PROCESS;
     }
 }
--- a/src/main/java/caperrudder/scale/LoopbackServers.java
+++ b/src/main/java/caperrudder/scale/LoopbackServers.java
@@ -1,8 +1,9 @@
 package caperrudder.scale;
 
-import caperrudder.scale.SimulatedDiscovery.Entry;
+import caperrudder.scale.SimulatedDiscovery.SimulatedHost;
 import caperrudder.scale.SimulatedDiscovery.State;
 import com.sun.net.httpserver.HttpExchange;
+import com.sun.net.httpserver.HttpHandler;
 import com.sun.net.httpserver.HttpServer;
 import java.io.Closeable;
 import java.io.IOException;
@@ -18,42 +19,44 @@
 import java.util.regex.Pattern;
 
 /**
- * Discovery and hosts on loopback. All hosts of the list share one address, so that thousands need no more sockets
- * than a gateway opens.
+ * Discovery and hosts over HTTP on loopback. All hosts of the list share one address, so that thousands need no more
+ * sockets than a gateway opens. Calls are answered on daemon threads of its own; all methods may be called from any
+ * thread.
  */
 final class LoopbackServers implements Closeable {
     private static final Pattern WATCH = Pattern.compile("from=(\\d+)&hold_ms=(\\d+)");
     private static final byte[] BODY = "ok".getBytes(StandardCharsets.US_ASCII);
     private static final int OK = 200;
+    private static final long NANOS_PER_MS = 1_000_000;
+
+    static {
+        System.setProperty("sun.net.httpserver.nodelay", "true"); // else a short answer waits 40 ms for the other side
+    }
 
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
-        Thread t = new Thread(work, "stand-in");
+        Thread t = new Thread(work, "loopback-server");
         t.setDaemon(true);
         return t;
     });
-    private final HttpServer agent;
-    private final HttpServer host;
-    private final int answerMs;
+    private final HttpServer discoveryServer;
+    private final HttpServer hostServer;
+    private final int responseMs;
     private final SimulatedDiscovery discovery;
-    private final byte[] whole;
-    private Entry changed; // by the latest change
-    private final AtomicLong wholeLists = new AtomicLong();
+    private final byte[] fullList;
+    private SimulatedHost lastChanged; // guarded by this, as is discovery
+    private final AtomicLong fullLists = new AtomicLong();
     private final AtomicLong calls = new AtomicLong();
-    private final AtomicLong bytesTold = new AtomicLong();
-
-    LoopbackServers(int hosts, long seed, int answerMs) throws IOException {
-        this.answerMs = answerMs;
-        this.host = serve(this::answer);
-        this.discovery = new SimulatedDiscovery(hosts, seed, n -> address(host));
-        this.whole = discovery.whole();
-        this.agent = serve(this::list);
-    }
-
-    static {
-        System.setProperty("sun.net.httpserver.nodelay", "true"); // else a short answer waits 40 ms for the other side
+    private final AtomicLong bytesSent = new AtomicLong();
+
+    LoopbackServers(int hosts, long seed, int responseMs) throws IOException {
+        this.responseMs = responseMs;
+        this.hostServer = serve(this::answerRequest);
+        this.discovery = new SimulatedDiscovery(hosts, seed, n -> address(hostServer));
+        this.fullList = discovery.fullList();
+        this.discoveryServer = serve(this::answerList);
     }
 
-    private HttpServer serve(com.sun.net.httpserver.HttpHandler handler) throws IOException {
+    private HttpServer serve(HttpHandler handler) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.createContext("/", handler);
         server.setExecutor(threads);
@@ -61,34 +64,38 @@
         return server;
     }
 
-    private static String address(HttpServer of) {
-        return "127.0.0.1:" + of.getAddress().getPort();
+    private static String address(HttpServer server) {
+        return "127.0.0.1:" + server.getAddress().getPort();
     }
 
+    /** Host and port of discovery. */
     String discoveryAddress() {
-        return address(agent);
+        return address(discoveryServer);
     }
 
-    long wholeLists() {
-        return wholeLists.get();
+    /** How many full lists it has sent. */
+    long fullLists() {
+        return fullLists.get();
     }
 
+    /** How many calls discovery has answered. */
     long calls() {
         return calls.get();
     }
 
-    long bytesTold() {
-        return bytesTold.get();
+    /** The bytes of all lists and changes sent. */
+    long bytesSent() {
+        return bytesSent.get();
     }
 
-    /** One host drains or comes back; who watches is told at once. */
+    /** One host drains or comes back; watches are answered at once. */
     synchronized void change(int number) {
-        changed = discovery.entries().get(number);
-        discovery.change(changed, changed.state() == State.READY ? State.DRAINING : State.READY, 0);
+        lastChanged = discovery.hosts().get(number);
+        discovery.change(lastChanged, lastChanged.state() == State.READY ? State.DRAINING : State.READY, 0);
         notifyAll();
     }
 
-    private void list(HttpExchange exchange) throws IOException {
+    private void answerList(HttpExchange exchange) throws IOException {
         calls.incrementAndGet();
         String query = exchange.getRequestURI().getQuery();
         Matcher watch = WATCH.matcher(query == null ? "" : query);
@@ -101,45 +108,45 @@
             Thread.currentThread().interrupt();
             return;
         }
-        bytesTold.addAndGet(text.length);
-        tell(exchange, text);
+        bytesSent.addAndGet(text.length);
+        respond(exchange, text);
     }
 
     private byte[] all() {
-        wholeLists.incrementAndGet();
-        return whole;
+        fullLists.incrementAndGet();
+        return fullList;
     }
 
-    /** The one change that is new, the whole list where more are, or none after the wait. */
+    /** The one change that is new, the full list where there are more, or no change after the wait. */
     private synchronized byte[] changesSince(long from, long holdMs) throws InterruptedException {
-        long end = System.nanoTime() + holdMs * 1_000_000;
+        long end = System.nanoTime() + holdMs * NANOS_PER_MS;
         while (discovery.version() <= from) {
-            long leftMs = (end - System.nanoTime()) / 1_000_000;
+            long leftMs = (end - System.nanoTime()) / NANOS_PER_MS;
             if (leftMs <= 0) {
                 return discovery.changes(List.of());
             }
             wait(leftMs);
         }
         if (discovery.version() == from + 1) {
-            return discovery.changes(List.of(changed));
+            return discovery.changes(List.of(lastChanged));
         }
-        wholeLists.incrementAndGet();
-        return discovery.whole();
+        fullLists.incrementAndGet();
+        return discovery.fullList();
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void answerRequest(HttpExchange exchange) throws IOException {
         exchange.getRequestBody().readAllBytes();
         try {
-            Thread.sleep(answerMs);
+            Thread.sleep(responseMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         exchange.getResponseHeaders().set("Endpoint-Load-Metrics", "TEXT inflight=1, queue=0, util=0.1");
         exchange.getResponseHeaders().set("X-Quota-Used", "1");
-        tell(exchange, BODY);
+        respond(exchange, BODY);
     }
 
-    private static void tell(HttpExchange exchange, byte[] text) throws IOException {
+    private static void respond(HttpExchange exchange, byte[] text) throws IOException {
         exchange.sendResponseHeaders(OK, text.length);
         try (OutputStream body = exchange.getResponseBody()) {
             body.write(text);
@@ -148,8 +155,8 @@
 
     @Override
     public void close() {
-        agent.stop(0);
-        host.stop(0);
+        discoveryServer.stop(0);
+        hostServer.stop(0);
         threads.shutdownNow();
     }
 }
--- a/src/main/java/caperrudder/scale/Measurement.java
+++ b/src/main/java/caperrudder/scale/Measurement.java
@@ -1,7 +1,12 @@
 package caperrudder.scale;
 
 /**
- * One measured figure of a run at one size. A {@code count} comes out the same each time from the same options, seed
- * and program; what is not one depends on the machine.
+ * One value measured at one size.
+ *
+ * @param hosts the hosts in discovery's list
+ * @param name what was measured, as printed
+ * @param value in the unit
+ * @param unit as printed
+ * @param deterministic whether the same options, seed and program give the same value on any machine
  */
-record Measurement(int hosts, String name, double value, String unit, boolean count) {}
+record Measurement(int hosts, String name, double value, String unit, boolean deterministic) {}
--- a/src/main/java/caperrudder/scale/OutputOptions.java
+++ b/src/main/java/caperrudder/scale/OutputOptions.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import picocli.CommandLine.Option;
 
-/** The options that all measurements share, and the printing of what came of them. */
+/** The options that all experiments share, and the printing of their measurements. */
 final class OutputOptions {
     @Option(
             names = "--seed",
@@ -19,7 +19,7 @@
     @Option(names = "--json", description = "Prints one JSON object instead of lines.")
     private boolean json;
 
-    /** A measurement at one size. */
+    /** An experiment at one size. */
     interface Experiment<T> {
         List<Measurement> run(T size, Progress progress) throws Exception;
     }
@@ -28,22 +28,22 @@
         return seed;
     }
 
-    /** Measures size by size and prints lines after each, or one JSON object in the end. */
+    /** Runs the experiment size by size and prints lines after each, or one JSON object in the end. */
     <T> void print(PrintWriter out, Map<String, Object> options, List<T> sizes, Experiment<T> experiment)
             throws Exception {
-        List<Measurement> figures = new ArrayList<>();
+        List<Measurement> all = new ArrayList<>();
         Progress progress = new Progress(System.err);
         for (T size : sizes) {
-            List<Measurement> told = experiment.run(size, progress);
-            figures.addAll(told);
+            List<Measurement> measurements = experiment.run(size, progress);
+            all.addAll(measurements);
             if (!json) {
-                out.print(Measurements.text(told));
+                out.print(MeasurementFormat.text(measurements));
                 out.flush();
             }
         }
         options.put("seed", seed);
         if (json) {
-            out.println(Measurements.json(options, figures));
+            out.println(MeasurementFormat.json(options, all));
         }
     }
 }
--- a/src/main/java/caperrudder/scale/ProcessCommand.java
+++ b/src/main/java/caperrudder/scale/ProcessCommand.java
@@ -18,49 +18,19 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The same slopes on real processes over loopback. */
+/** Measures real gateway processes over loopback by the number of hosts. */
 @Command(
         name = "process",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         usageHelpWidth = 100,
         description = "Measures a real gateway process over loopback, started by the command 'run' of a deployment,"
-                + " before stand-ins for discovery and hosts: at each size a process is started anew, left idle, loaded,"
-                + " and told changes. Processor time is that of the whole process, as the system tells it.",
+                + " before simulated discovery and hosts: at each size a process is started anew, left idle, loaded,"
+                + " and sent changes. Processor time is that of the whole process, as the system reports it.",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:measured", "1:the measurement failed", "2:options that make no sense"})
 final class ProcessCommand implements Callable<Integer> {
-    private static final Pattern RUN = Pattern.compile("(?m)^run\\s*=\\s*\"(.*)\"\\s*$");
-
-    /** What is asked of each process. */
-    record Plan(
-            String command,
-            int hosts,
-            int fleet,
-            int memoryMb,
-            int idleS,
-            int loadS,
-            double ratePerS,
-            int changes,
-            int answerMs,
-            long seed) {
-        Plan {
-            check(hosts >= 1 && hosts <= 1_000_000, "--hosts must be from 1 to 1000000");
-            check(fleet >= 1 && fleet <= FleetSize.FLEET_MAX, "--fleet must be from 1 to " + FleetSize.FLEET_MAX);
-            check(memoryMb >= 32 && memoryMb <= 4096, "--memory-mb must be from 32 to 4096");
-            check(idleS >= 1 && idleS <= 60, "--idle must be from 1 to 60 seconds");
-            check(loadS >= 0 && loadS <= 60, "--load must be from 0 to 60 seconds");
-            check(ratePerS > 0 && ratePerS <= 2000, "--rate must be above 0 and at most 2000 requests a second");
-            check(changes >= 0 && changes <= 600, "--changes must be from 0 to 600");
-            check(answerMs >= 0 && answerMs <= 2000, "--answer-ms must be from 0 to 2000");
-        }
-
-        private static void check(boolean holds, String otherwise) {
-            if (!holds) {
-                throw new IllegalArgumentException(otherwise);
-            }
-        }
-    }
+    private static final Pattern RUN_COMMAND = Pattern.compile("(?m)^run\\s*=\\s*\"(.*)\"\\s*$");
 
     @Spec
     private CommandSpec spec;
@@ -83,7 +53,7 @@
             names = "--fleet",
             defaultValue = "1",
             paramLabel = "N",
-            description = "Gateways that the settings tell of;"
+            description = "Gateways that the settings speak of;"
                     + " it decides how many hosts the gateway keeps to (default: ${DEFAULT-VALUE}).")
     private int fleet;
 
@@ -91,7 +61,7 @@
             names = "--memory-mb",
             defaultValue = "256",
             paramLabel = "MB",
-            description = "Memory that the settings tell the gateway of (default: ${DEFAULT-VALUE}).")
+            description = "Memory that the settings give the gateway (default: ${DEFAULT-VALUE}).")
     private int memoryMb;
 
     @Option(
@@ -99,27 +69,27 @@
             defaultValue = "10",
             paramLabel = "S",
             description = "Idle time, in seconds (default: ${DEFAULT-VALUE}).")
-    private int idleS;
+    private int idleSeconds;
 
     @Option(
             names = "--load",
             defaultValue = "10",
             paramLabel = "S",
             description = "Time under load, in seconds (default: ${DEFAULT-VALUE}).")
-    private int loadS;
+    private int loadSeconds;
 
     @Option(
             names = "--rate",
             defaultValue = "100",
             paramLabel = "PER-S",
             description = "Requests a second under load (default: ${DEFAULT-VALUE}).")
-    private double ratePerS;
+    private double requestsPerSecond;
 
     @Option(
             names = "--changes",
             defaultValue = "40",
             paramLabel = "N",
-            description = "Changes of one host, told ten a second (default: ${DEFAULT-VALUE}).")
+            description = "Changes of one host, ten a second (default: ${DEFAULT-VALUE}).")
     private int changes;
 
     @Option(
@@ -127,33 +97,43 @@
             defaultValue = "20",
             paramLabel = "MS",
             description = "Time that a host takes for an answer, in milliseconds (default: ${DEFAULT-VALUE}).")
-    private int answerMs;
+    private int responseMs;
 
     @Mixin
     private OutputOptions output;
 
     @Override
     public Integer call() throws Exception {
-        List<Plan> plans = new ArrayList<>();
+        List<ProcessExperiment.Settings> sizes = new ArrayList<>();
         try {
             String command = run == null ? deployed(Path.of("deploy", "balancer.toml")) : run;
             for (int n : hosts) {
-                plans.add(new Plan(
-                        command, n, fleet, memoryMb, idleS, loadS, ratePerS, changes, answerMs, output.seed()));
+                sizes.add(new ProcessExperiment.Settings(
+                        command,
+                        n,
+                        fleet,
+                        memoryMb,
+                        idleSeconds,
+                        loadSeconds,
+                        requestsPerSecond,
+                        changes,
+                        responseMs,
+                        output.seed()));
             }
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage());
         }
-        output.print(spec.commandLine().getOut(), options(plans.get(0)), plans, (plan, progress) -> new ProcessExperiment(
-                        plan, progress)
-                .run());
+        output.print(
+                spec.commandLine().getOut(), options(sizes.get(0)), sizes, (size, progress) -> new ProcessExperiment(
+                                size, progress)
+                        .run());
         return CommandLine.ExitCode.OK;
     }
 
-    /** The command that a deployment starts a gateway by. */
+    /** The command by which a deployment starts a gateway; throws IllegalArgumentException where the file has none. */
     static String deployed(Path file) {
         try {
-            Matcher run = RUN.matcher(Files.readString(file));
+            Matcher run = RUN_COMMAND.matcher(Files.readString(file));
             if (run.find()) {
                 return run.group(1);
             }
@@ -163,17 +143,17 @@
         }
     }
 
-    private Map<String, Object> options(Plan first) {
-        Map<String, Object> told = new LinkedHashMap<>();
-        told.put("hosts", hosts);
-        told.put("run", first.command());
-        told.put("fleet", fleet);
-        told.put("memory_mb", memoryMb);
-        told.put("idle_s", idleS);
-        told.put("load_s", loadS);
-        told.put("rate_per_s", ratePerS);
-        told.put("changes", changes);
-        told.put("answer_ms", answerMs);
-        return told;
+    private Map<String, Object> options(ProcessExperiment.Settings first) {
+        Map<String, Object> options = new LinkedHashMap<>();
+        options.put("hosts", hosts);
+        options.put("run", first.command());
+        options.put("fleet", fleet);
+        options.put("memory_mb", memoryMb);
+        options.put("idle_s", idleSeconds);
+        options.put("load_s", loadSeconds);
+        options.put("rate_per_s", requestsPerSecond);
+        options.put("changes", changes);
+        options.put("answer_ms", responseMs);
+        return options;
     }
 }
--- a/src/main/java/caperrudder/scale/Progress.java
+++ b/src/main/java/caperrudder/scale/Progress.java
@@ -3,26 +3,33 @@
 import java.io.PrintStream;
 import java.util.concurrent.TimeUnit;
 
-/** Tells on standard error how far a run is, not more often than every five seconds: a short one tells nothing. */
+/** Reports how far a run is, not more often than every five seconds: a short run reports nothing. Not thread-safe. */
 final class Progress {
-    private static final long GAP_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    private final PrintStream to;
-    private long toldAt = System.nanoTime();
+    private final PrintStream out;
+    private String run = "";
+    private long reportedAt = System.nanoTime();
 
-    Progress(PrintStream to) {
-        this.to = to;
+    Progress(PrintStream out) {
+        this.out = out;
     }
 
+    /** Names the run that the next reports are of. */
+    void beginRun(String name) {
+        run = name;
+    }
+
+    /** Reports a step of the run, where the last report is old enough. */
     void at(String step, long done, long all) {
-        if (System.nanoTime() - toldAt >= GAP_NANOS) {
-            toldAt = System.nanoTime();
-            say(step + ", " + done + " of " + all);
+        if (System.nanoTime() - reportedAt >= INTERVAL_NANOS) {
+            reportedAt = System.nanoTime();
+            report(step + ", " + done + " of " + all);
         }
     }
 
-    /** Something that is to be known at once. */
-    void say(String line) {
-        to.println("scale: " + line);
+    /** Reports something at once. */
+    void report(String line) {
+        out.println("scale: " + run + ", " + line);
     }
 }
--- a/src/main/java/caperrudder/scale/RecordedActions.java
+++ b/src/main/java/caperrudder/scale/RecordedActions.java
@@ -4,103 +4,120 @@
 import java.util.Arrays;
 
 /**
- * What a module did during one event, to be carried out after it, as the real gateway does. Kept in arrays that are
- * used again: noting an action allocates nothing, so that what is measured is the module's own.
+ * The actions of one event, carried out after it as the real gateway does. They lie in arrays that are used again:
+ * recording an action allocates nothing, so that what is measured is the policy's own. Not thread-safe.
  */
 final class RecordedActions implements PolicyActions {
-    enum Kind {
-        SEND,
-        CANCEL,
-        REFUSE,
+    private enum Kind {
+        SEND_ATTEMPT,
+        CANCEL_ATTEMPT,
+        REJECT,
         FAIL,
-        TIMER,
-        PROBE,
-        TELL,
-        COUNT
+        START_TIMER,
+        START_HEALTH_CHECK,
+        SEND_TO_PEER,
+        ADD_TO_COUNTER
     }
 
-    /** Is told each action in order; {@code name} is a request, token or counter, what a kind has not is 0 or null. */
-    interface Carrier {
-        void carryOut(Kind kind, String name, String host, int number, double delayMs, byte[] message);
-    }
+    private static final int INITIAL_CAPACITY = 64;
 
-    private static final int ROOM = 64;
-    private Kind[] kinds = new Kind[ROOM];
-    private String[] names = new String[ROOM];
-    private String[] hosts = new String[ROOM];
-    private int[] numbers = new int[ROOM];
-    private double[] delaysMs = new double[ROOM];
-    private byte[][] messages = new byte[ROOM][];
+    private Kind[] kinds = new Kind[INITIAL_CAPACITY];
+    private String[] names = new String[INITIAL_CAPACITY]; // a request, token or counter
+    private String[] hosts = new String[INITIAL_CAPACITY];
+    private int[] numbers = new int[INITIAL_CAPACITY]; // an attempt or a peer
+    private double[] amounts = new double[INITIAL_CAPACITY];
+    private double[] timesMs = new double[INITIAL_CAPACITY];
+    private byte[][] messages = new byte[INITIAL_CAPACITY][];
     private int size;
 
-    private void note(Kind kind, String name, String host, int number, double delayMs, byte[] message) {
+    private void record(Kind kind, String name, String host, int number, double amount, double timeMs, byte[] message) {
         if (size == kinds.length) {
-            kinds = Arrays.copyOf(kinds, 2 * size);
-            names = Arrays.copyOf(names, 2 * size);
-            hosts = Arrays.copyOf(hosts, 2 * size);
-            numbers = Arrays.copyOf(numbers, 2 * size);
-            delaysMs = Arrays.copyOf(delaysMs, 2 * size);
-            messages = Arrays.copyOf(messages, 2 * size);
+            grow(2 * size);
         }
         kinds[size] = kind;
         names[size] = name;
         hosts[size] = host;
         numbers[size] = number;
-        delaysMs[size] = delayMs;
+        amounts[size] = amount;
+        timesMs[size] = timeMs;
         messages[size++] = message;
     }
 
-    /** Empties it; nothing that is carried out may tell the module at once. */
-    void empty(Carrier carrier) {
+    private void grow(int capacity) {
+        kinds = Arrays.copyOf(kinds, capacity);
+        names = Arrays.copyOf(names, capacity);
+        hosts = Arrays.copyOf(hosts, capacity);
+        numbers = Arrays.copyOf(numbers, capacity);
+        amounts = Arrays.copyOf(amounts, capacity);
+        timesMs = Arrays.copyOf(timesMs, capacity);
+        messages = Arrays.copyOf(messages, capacity);
+    }
+
+    /** Carries out all actions in their order and forgets them; none of them may record an action at once. */
+    void replay(PolicyActions environment) {
         for (int i = 0; i < size; i++) {
-            carrier.carryOut(kinds[i], names[i], hosts[i], numbers[i], delaysMs[i], messages[i]);
-            names[i] = hosts[i] = null;
+            carryOut(i, environment);
+            names[i] = null;
+            hosts[i] = null;
             messages[i] = null;
         }
         size = 0;
     }
 
+    private void carryOut(int i, PolicyActions environment) {
+        switch (kinds[i]) {
+            case SEND_ATTEMPT -> environment.sendAttempt(names[i], hosts[i], timesMs[i]);
+            case CANCEL_ATTEMPT -> environment.cancelAttempt(names[i], numbers[i]);
+            case REJECT -> environment.reject(names[i], timesMs[i]);
+            case FAIL -> environment.fail(names[i]);
+            case START_TIMER -> environment.startTimer(timesMs[i], names[i]);
+            case START_HEALTH_CHECK -> environment.startHealthCheck(hosts[i]);
+            case SEND_TO_PEER -> environment.sendToPeer(numbers[i], messages[i]);
+            case ADD_TO_COUNTER -> environment.addToCounter(names[i], amounts[i], timesMs[i]);
+        }
+    }
+
     @Override
     public void sendAttempt(String id, String host, double timeoutMs) {
-        note(Kind.SEND, id, host, 0, timeoutMs, null);
+        record(Kind.SEND_ATTEMPT, id, host, 0, 0, timeoutMs, null);
     }
 
     @Override
     public void cancelAttempt(String id, int attempt) {
-        note(Kind.CANCEL, id, null, attempt, 0, null);
+        record(Kind.CANCEL_ATTEMPT, id, null, attempt, 0, 0, null);
     }
 
     @Override
     public void reject(String id, double retryAfterMs) {
-        note(Kind.REFUSE, id, null, 0, retryAfterMs, null);
+        record(Kind.REJECT, id, null, 0, 0, retryAfterMs, null);
     }
 
     @Override
     public void fail(String id) {
-        note(Kind.FAIL, id, null, 0, 0, null);
+        record(Kind.FAIL, id, null, 0, 0, 0, null);
     }
 
     @Override
     public void startTimer(double delayMs, String token) {
-        note(Kind.TIMER, token, null, 0, delayMs, null);
+        record(Kind.START_TIMER, token, null, 0, 0, delayMs, null);
     }
 
     @Override
     public void startHealthCheck(String host) {
-        note(Kind.PROBE, null, host, 0, 0, null);
+        record(Kind.START_HEALTH_CHECK, null, host, 0, 0, 0, null);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        note(Kind.TELL, null, null, peer, 0, data);
+        record(Kind.SEND_TO_PEER, null, null, peer, 0, 0, data);
     }
 
     @Override
     public void addToCounter(String counter, double amount, double lifetimeMs) {
-        note(Kind.COUNT, counter, null, 0, 0, null);
+        record(Kind.ADD_TO_COUNTER, counter, null, 0, amount, lifetimeMs, null);
     }
 
-    /** Discovery is always watched. */
+    /** Needs nothing: the simulated discovery sends its lists unasked. */
     @Override
     public void subscribeToHosts() {}
 }
--- a/src/main/java/caperrudder/scale/SimulatedClock.java
+++ b/src/main/java/caperrudder/scale/SimulatedClock.java
@@ -2,18 +2,21 @@
 
 import java.util.PriorityQueue;
 
-/** Simulated time in milliseconds and what is due in it; what is due at one moment runs in the order it was asked for. */
+/**
+ * Simulated time in milliseconds and the tasks that are due in it. Tasks of one moment run in the order in which they
+ * were scheduled, on the thread that advances the clock. Not thread-safe.
+ */
 final class SimulatedClock {
-    private record Due(double atMs, long order, Runnable work) implements Comparable<Due> {
+    private record Task(double atMs, long order, Runnable work) implements Comparable<Task> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(Task other) {
             int byTime = Double.compare(atMs, other.atMs);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
-    private long order;
+    private final PriorityQueue<Task> tasks = new PriorityQueue<>();
+    private long scheduled;
     private double nowMs;
 
     SimulatedClock(double nowMs) {
@@ -24,17 +27,19 @@
         return nowMs;
     }
 
-    void after(double delayMs, Runnable work) {
-        queue.add(new Due(nowMs + Math.max(0, delayMs), order++, work));
+    /** Runs the work once the clock has advanced so far; a delay below 0 counts as 0. */
+    void schedule(double delayMs, Runnable work) {
+        tasks.add(new Task(nowMs + Math.max(0, delayMs), scheduled++, work));
     }
 
-    void pass(double ms) {
-        double end = nowMs + ms;
-        while (!queue.isEmpty() && queue.peek().atMs() <= end) {
-            Due next = queue.poll();
+    /** Advances the clock and runs all that falls due, with what this schedules in turn. */
+    void advance(double ms) {
+        double endMs = nowMs + ms;
+        while (!tasks.isEmpty() && tasks.peek().atMs() <= endMs) {
+            Task next = tasks.poll();
             nowMs = next.atMs();
             next.work().run();
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 }
--- a/src/main/java/caperrudder/scale/SimulatedDiscovery.java
+++ b/src/main/java/caperrudder/scale/SimulatedDiscovery.java
@@ -9,36 +9,43 @@
 import java.util.Random;
 import java.util.function.IntFunction;
 
-/** Discovery as the protocol's page gives it: numbered hosts with states, and the texts that it answers with. */
+/** Discovery as PROTOCOL gives it: numbered hosts with states, and the texts that it answers with. Not thread-safe. */
 final class SimulatedDiscovery {
+    /** The zones, among which hosts are dealt by turns. */
     static final int ZONES = 8;
+
     private static final int CELLS = 16;
-    private static final int BYTES_AN_ENTRY = 160;
+    private static final int BYTES_PER_ENTRY = 160;
 
+    /** The state of a host, in the order and by the names of the list. */
     enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** One host; what it has to do now is kept here, too, for its reports. */
-    static final class Entry {
-        final String id;
+    /** One host, with what its load reports need. */
+    static final class SimulatedHost {
+        private final String id;
         private final String address;
         private final String zone;
         private final int cell;
         private State state = State.READY;
         private long startedMs;
-        boolean silent; // its machine has vanished: nothing is answered
-        int inWork;
+        private boolean silent;
+        private int inFlight;
 
-        private Entry(String id, String address, String zone, int cell) {
+        private SimulatedHost(String id, String address, String zone, int cell) {
             this.id = id;
             this.address = address;
             this.zone = zone;
             this.cell = cell;
         }
 
+        String id() {
+            return id;
+        }
+
         State state() {
             return state;
         }
@@ -51,83 +58,111 @@
         String zone() {
             return zone;
         }
+
+        /** Whether its machine has vanished, so that nothing is answered. */
+        boolean isSilent() {
+            return silent;
+        }
+
+        void setSilent(boolean silent) {
+            this.silent = silent;
+        }
+
+        void beginWork() {
+            inFlight++;
+        }
+
+        void endWork() {
+            inFlight--;
+        }
+
+        int inFlight() {
+            return inFlight;
+        }
     }
 
-    private final List<Entry> entries = new ArrayList<>();
-    private final Map<String, Entry> byId = new HashMap<>();
+    private final List<SimulatedHost> hosts = new ArrayList<>();
+    private final Map<String, SimulatedHost> hostsById = new HashMap<>();
     private long version = 1;
 
     /** So many ready hosts, in zones by turns; each has the address that its number is given. */
-    SimulatedDiscovery(int hosts, long seed, IntFunction<String> address) {
+    SimulatedDiscovery(int count, long seed, IntFunction<String> address) {
         Random random = new Random(seed);
-        while (entries.size() < hosts) {
+        while (hosts.size() < count) {
             String id = String.format(Locale.ROOT, "s-%08x", random.nextInt());
-            int number = entries.size();
-            Entry e = new Entry(id, address.apply(number), zoneName(number % ZONES), random.nextInt(CELLS));
-            if (byId.putIfAbsent(id, e) == null) {
-                entries.add(e);
+            int number = hosts.size();
+            SimulatedHost host =
+                    new SimulatedHost(id, address.apply(number), zoneName(number % ZONES), random.nextInt(CELLS));
+            if (hostsById.putIfAbsent(id, host) == null) {
+                hosts.add(host);
             }
         }
     }
 
+    /** A zone's name, by its number. */
     static String zoneName(int number) {
         return String.valueOf((char) ('a' + number));
     }
 
-    List<Entry> entries() {
-        return entries;
+    List<SimulatedHost> hosts() {
+        return hosts;
     }
 
-    Entry entry(String id) {
-        return byId.get(id);
+    /** The host of an id that a list has given. */
+    SimulatedHost host(String id) {
+        return hostsById.get(id);
     }
 
+    /** The version of the list, one more with each change. */
     long version() {
         return version;
     }
 
     /** Changes one host; {@code startedMs} is its last start, in Unix milliseconds, 0 where that was long ago. */
-    void change(Entry e, State state, long startedMs) {
-        e.state = state;
-        e.startedMs = startedMs;
+    void change(SimulatedHost host, State state, long startedMs) {
+        host.state = state;
+        host.startedMs = startedMs;
         version++;
     }
 
-    /** The answer to a call for the whole list. */
-    byte[] whole() {
-        return text(entries.stream().filter(e -> e.state != State.GONE).toList(), true);
+    /** The answer to a call for the full list. */
+    byte[] fullList() {
+        return text(hosts.stream().filter(host -> host.state != State.GONE).toList(), true);
     }
 
     /** The answer to a watch that names what has changed since its version. */
-    byte[] changes(List<Entry> changed) {
+    byte[] changes(List<SimulatedHost> changed) {
         return text(changed, false);
     }
 
-    private byte[] text(List<Entry> told, boolean full) {
-        StringBuilder text = new StringBuilder(BYTES_AN_ENTRY * (told.size() + 1));
+    private byte[] text(List<SimulatedHost> listed, boolean full) {
+        StringBuilder text = new StringBuilder(BYTES_PER_ENTRY * (listed.size() + 1));
         text.append("{\"version\":")
                 .append(version)
                 .append(",\"full\":")
                 .append(full)
                 .append(",\"servers\":[");
-        String comma = "\n";
-        for (Entry e : told) {
-            text.append(comma)
-                    .append("{\"id\":\"")
-                    .append(e.id)
-                    .append("\",\"addr\":\"")
-                    .append(e.address)
-                    .append("\",\"zone\":\"")
-                    .append(e.zone)
-                    .append("\",\"kind\":\"m2\",\"cell\":")
-                    .append(e.cell)
-                    .append(",\"state\":\"")
-                    .append(e.state.name().toLowerCase(Locale.ROOT))
-                    .append("\",\"weight\":1.0,\"started_ms\":")
-                    .append(e.startedMs)
-                    .append('}');
-            comma = ",\n";
+        String separator = "\n";
+        for (SimulatedHost host : listed) {
+            append(text.append(separator), host);
+            separator = ",\n";
         }
         return text.append("]}").toString().getBytes(StandardCharsets.US_ASCII);
     }
+
+    private static void append(StringBuilder text, SimulatedHost host) {
+        text.append("{\"id\":\"")
+                .append(host.id)
+                .append("\",\"addr\":\"")
+                .append(host.address)
+                .append("\",\"zone\":\"")
+                .append(host.zone)
+                .append("\",\"kind\":\"m2\",\"cell\":")
+                .append(host.cell)
+                .append(",\"state\":\"")
+                .append(host.state.name().toLowerCase(Locale.ROOT))
+                .append("\",\"weight\":1.0,\"started_ms\":")
+                .append(host.startedMs)
+                .append('}');
+    }
 }
--- a/src/main/java/caperrudder/scale/SimulatedGateway.java
+++ b/src/main/java/caperrudder/scale/SimulatedGateway.java
@@ -1,6 +1,7 @@
 package caperrudder.scale;
 
 import caperrudder.api.HostListKind;
+import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.Settings;
 import caperrudder.policy.TrafficPolicy;
@@ -9,50 +10,60 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The real module and the real reading of lists without sockets: each event is told alone, and measured. */
+/**
+ * The real policy and the real reader of endpoint lists without sockets. Each event runs alone and is measured; what the
+ * policy did is carried out after it, unmeasured. Not thread-safe.
+ */
 final class SimulatedGateway {
-    /** Something that the module is told. */
+    /** An event that the policy receives. */
     interface Event {
-        void tell(PolicyEvents module);
+        void deliverTo(PolicyEvents policy);
     }
 
-    final int number;
-    private final RecordedActions outbox = new RecordedActions();
-    private final TrafficPolicy module = new TrafficPolicy(outbox);
-    private final RecordedActions.Carrier carrier;
+    private final int index;
+    private final RecordedActions actions = new RecordedActions();
+    private final TrafficPolicy policy = new TrafficPolicy(actions);
+    private final PolicyActions environment;
     private EndpointLists lastRead;
-    private long nanos; // of the last event, as are the next two
-    private long bytes;
-    private long wallNanos;
+    private long lastNanos;
+    private long lastBytes;
+    private long lastWallNanos;
 
-    SimulatedGateway(Settings settings, RecordedActions.Carrier carrier) {
-        this.number = settings.gatewayIndex();
-        this.carrier = carrier;
+    /** {@code environment} carries out the policy's actions, in order; it may not call the gateway at once. */
+    SimulatedGateway(Settings settings, PolicyActions environment) {
+        this.index = settings.gatewayIndex();
+        this.environment = environment;
     }
 
-    /** Tells the module, then carries out what it did; {@code cost} is the kind that the event belongs to. */
-    void tell(EventCost cost, Event event) {
-        measure(cost, () -> event.tell(module));
-        outbox.empty(carrier);
+    /** Its number among the gateways of the fleet. */
+    int index() {
+        return index;
     }
 
-    /** Reads an answer of discovery and tells the module: one event of the loop, as in the real gateway. */
-    void tellHosts(EventCost reading, EventCost telling, EventCost both, double nowMs, byte[] text) {
-        measure(reading, () -> read(text));
-        long readNanos = nanos;
-        long readBytes = bytes;
-        long readWallNanos = wallNanos;
+    /** Delivers an event, then carries out what the policy did; {@code cost} is of the event's kind. */
+    void deliver(EventCost cost, Event event) {
+        measure(cost, () -> event.deliverTo(policy));
+        actions.replay(environment);
+    }
+
+    /** Reads an answer of discovery and delivers it: one event of the loop, as in the real gateway. */
+    void deliverList(PhaseCosts costs, double nowMs, byte[] text) {
+        measure(costs.listReads(), () -> read(text));
+        long readNanos = lastNanos;
+        long readBytes = lastBytes;
+        long readWallNanos = lastWallNanos;
         EndpointLists list = lastRead;
-        lastRead = null; // what is held later is the module's alone
-        tell(telling, m -> m.hostsUpdated(nowMs, list.full() ? HostListKind.FULL : HostListKind.CHANGES, list.hosts()));
-        both.add(readNanos + nanos, readBytes + bytes, readWallNanos + wallNanos);
+        lastRead = null; // so that what stays in memory is the policy's alone
+        HostListKind kind = list.full() ? HostListKind.FULL : HostListKind.CHANGES;
+        deliver(costs.listUpdates(), policyEvents -> policyEvents.hostsUpdated(nowMs, kind, list.hosts()));
+        costs.lists().add(readNanos + lastNanos, readBytes + lastBytes, readWallNanos + lastWallNanos);
     }
 
     private void read(byte[] text) {
         try {
             lastRead = EndpointLists.read(new ByteArrayInputStream(text));
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // the stand-in's own text
+            throw new UncheckedIOException("the simulated discovery wrote what can't be read", e);
         }
     }
 
@@ -61,18 +72,19 @@
         long allocated = EventCost.threadBytes();
         long cpu = EventCost.threadNanos();
         work.run();
-        nanos = EventCost.threadNanos() - cpu;
-        bytes = EventCost.threadBytes() - allocated;
-        wallNanos = System.nanoTime() - wall;
-        cost.add(nanos, bytes, wallNanos);
+        lastNanos = EventCost.threadNanos() - cpu;
+        lastBytes = EventCost.threadBytes() - allocated;
+        lastWallNanos = System.nanoTime() - wall;
+        cost.add(lastNanos, lastBytes, lastWallNanos);
     }
 
     /** Processor time of the last event, in nanoseconds. */
     long lastNanos() {
-        return nanos;
+        return lastNanos;
     }
 
+    /** Bytes that the last event allocated. */
     long lastBytes() {
-        return bytes;
+        return lastBytes;
     }
 }
--- a/src/test/java/caperrudder/scale/SimulatedDiscoveryTest.java
+++ b/src/test/java/caperrudder/scale/SimulatedDiscoveryTest.java
@@ -7,7 +7,7 @@
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
 import caperrudder.api.Settings;
-import caperrudder.scale.SimulatedDiscovery.Entry;
+import caperrudder.scale.SimulatedDiscovery.SimulatedHost;
 import caperrudder.scale.SimulatedDiscovery.State;
 import caperrudder.server.discovery.EndpointLists;
 import java.io.ByteArrayInputStream;
@@ -28,36 +28,36 @@
     @Test
     void theRealReadingUnderstandsDiscoverysTexts() throws IOException {
         SimulatedDiscovery discovery = new SimulatedDiscovery(20, 3, n -> "127.0.0.1:" + (1 + n));
-        EndpointLists whole = read(discovery.whole());
+        EndpointLists whole = read(discovery.fullList());
         assertTrue(whole.full());
         assertEquals(1, whole.version());
         assertEquals(20, whole.hosts().stream().map(Host::id).distinct().count());
-        Entry e = discovery.entries().get(4);
-        discovery.change(e, State.GONE, 0);
-        assertEquals(19, read(discovery.whole()).hosts().size());
-        discovery.change(e, State.DRAINING, 1234);
-        EndpointLists change = read(discovery.changes(List.of(e)));
+        SimulatedHost host = discovery.hosts().get(4);
+        discovery.change(host, State.GONE, 0);
+        assertEquals(19, read(discovery.fullList()).hosts().size());
+        discovery.change(host, State.DRAINING, 1234);
+        EndpointLists change = read(discovery.changes(List.of(host)));
         assertFalse(change.full());
         assertEquals(3, change.version());
         Host told = change.hosts().get(0);
         assertEquals(
-                List.of(e.id, HostState.DRAINING, 1234.0, 1.0, "m2"),
+                List.of(host.id(), HostState.DRAINING, 1234.0, 1.0, "m2"),
                 List.of(told.id(), told.state(), told.startedMs(), told.weight(), told.kind()));
     }
 
     @ParameterizedTest
     @CsvSource({"1,1,5", "4,2,10", "7,7,3", "10,3,1", "5,4,23"})
     void aGatewaysTenantsAreThoseWhoseSetHoldsIt(int fleet, int spread, int count) {
-        Settings s = FleetSettings.of(0, fleet, "a", FleetSettings.Sharing.METER, 1);
+        Settings s = FleetSettings.of(0, fleet, "a", FleetSettings.UsageSharing.METER, 1);
         Tenants tenants = new Tenants(count, fleet, spread, s.plans());
         for (int g = 0; g < fleet; g++) {
             Set<Integer> own = new HashSet<>();
-            for (int place = 0; place < tenants.of(g); place++) {
-                own.add(tenants.number(g, place));
+            for (int place = 0; place < tenants.countAt(g); place++) {
+                own.add(tenants.tenantAt(g, place));
             }
-            assertEquals(tenants.of(g), own.size());
+            assertEquals(tenants.countAt(g), own.size());
             for (int t = 0; t < count; t++) {
-                boolean inSet = Math.floorMod(g - tenants.first(t), fleet) < spread;
+                boolean inSet = Math.floorMod(g - tenants.firstReplica(t), fleet) < spread;
                 assertEquals(inSet, own.contains(t), "tenant " + t + " at gateway " + g);
             }
         }
@@ -65,13 +65,13 @@
 
     @Test
     void theMeterTellsTheLastFinishedSecondAndOneMore() {
-        Settings s = FleetSettings.of(0, 1, "a", FleetSettings.Sharing.METER, 1);
+        Settings s = FleetSettings.of(0, 1, "a", FleetSettings.UsageSharing.METER, 1);
         Tenants tenants = new Tenants(3, 1, 1, s.plans());
         double rate = tenants.plan(1).unitsPerSecond();
-        tenants.uses(1, rate / 2, 10_500);
-        assertEquals(1, tenants.usedPct(1, 10_900));
-        assertEquals(51, tenants.usedPct(1, 11_100));
-        assertEquals(1, tenants.usedPct(1, 12_100));
+        tenants.use(1, rate / 2, 10_500);
+        assertEquals(1, tenants.quotaUsedPercent(1, 10_900));
+        assertEquals(51, tenants.quotaUsedPercent(1, 11_100));
+        assertEquals(1, tenants.quotaUsedPercent(1, 12_100));
         assertEquals(
                 3,
                 List.of(Tenants.id(0), Tenants.id(1), Tenants.id(2)).stream()
