--- a/src/test/java/caperrudder/policy/GuardsTest.java
+++ b/src/test/java/caperrudder/policy/PolicyRulesTest.java
@@ -15,10 +15,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The five rules, each on one gateway alone. */
-class GuardsTest {
+/** The five rules of the simulator, each on one gateway alone. */
+class PolicyRulesTest {
     @Test
-    void withoutHostsARequestIsHeldAndRefusedInTime() {
+    void withoutHostsRequestWaitsAndIsRejectedInTime() {
         FakeGateway g = FakeGateway.alone();
         g.ask("r", "pay");
         assertEquals(0, g.answers("r"));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aTryThatComesWithNoTimeLeftIsAnsweredAtOnce() {
+    void requestWithNoTimeLeftIsAnsweredAtOnce() {
         // port-louis rules-3: a late retry was held until the next beat, after its deadline
         FakeGateway g = FakeGateway.alone();
         g.brain.requestReceived(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theTimeOutAtTheDeadlineIsAnswered() {
+    void timeoutAtTheDeadlineIsAnswered() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         g.ask("r", "read");
         g.ask("p", "pay");
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void nothingIsSentAfterTheClientLeft() {
+    void nothingIsSentAfterTheClientDisconnected() {
         FakeGateway g = FakeGateway.alone();
         g.ask("r", "read");
         g.brain.clientDisconnected(g.now, "r");
@@ -61,7 +61,7 @@
 
     /** While its keeper has been asked, and while it waits for a further attempt. */
     @Test
-    void nothingIsSentForAClientThatLeftWhileAnAnswerWasDue() {
+    void nothingIsSentForADisconnectedClientWhileAnOwnerOrAHostIsAwaited() {
         for (boolean left : List.of(false, true)) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 2)).withHosts("a1");
             for (int i = 0; i < 20; i++) { // of some of these customers the other gateway keeps the books
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void unsafeWorkIsNeverRepeatedOnceItMayHaveRun() {
+    void nonIdempotentRequestIsNeverRetriedOnceItMayHaveRun() {
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
             g.ask("p", "pay");
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void whatNeverRanIsSentElsewhere() {
+    void requestThatNeverRanIsRetriedElsewhere() {
         for (Outcome outcome : List.of(Outcome.REJECTED, Outcome.CONNECT_FAILED)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
             g.ask("p", "pay");
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void keyedWorkStaysInItsZoneAndWindow() {
+    void retryWithIdempotencyKeyStaysInItsScopeAndWindow() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "b1", "b2");
         g.ask("o", "order");
         String zone = g.hostOf("o").substring(0, 1);
@@ -133,7 +133,7 @@
 
     /** It was once sent on until nine tenths of the window, and its connection could come up after all of it. */
     @Test
-    void aKeyedRepeatArrivesWithinItsWindowAlsoOnALateConnection() {
+    void retryWithIdempotencyKeyArrivesWithinItsWindowOnALateConnection() {
         for (boolean late : List.of(false, true)) { // by the window of 1000 ms and a connect time-out of 250
             FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
             g.ask("o", "order");
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void drainedAndGoneHostsGetNothingNew() {
+    void drainingAndGoneHostsGetNoAttempts() {
         for (HostState state : List.of(HostState.DRAINING, HostState.GONE)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
             g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
@@ -160,16 +160,16 @@
     }
 
     @Test
-    void aColdHostGetsAShareOfWhatWarmOnesCarry() {
+    void hostInSlowStartGetsAShareOfWhatWarmOnesGet() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
         for (int i = 0; i < 100; i++) {
-            steady(g, i);
+            requestEvery20Ms(g, i);
         }
         g.brain.hostsUpdated(
                 g.now, HostListKind.CHANGES, List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
         int before = g.sent.size();
         for (int i = 100; i < 150; i++) {
-            steady(g, i);
+            requestEvery20Ms(g, i);
         }
         long cold =
                 g.sent.stream().skip(before).filter(s -> s.host().equals("c1")).count();
@@ -178,7 +178,7 @@
     }
 
     /** One request each 20 ms, answered after 160 ms, so that eight are out at a time. */
-    private static void steady(FakeGateway g, int i) {
+    private static void requestEvery20Ms(FakeGateway g, int i) {
         g.ask("w" + i, "read");
         g.pass(20);
         if (i >= 8) {
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void theCeilingIsAnEvenPartAndARestartBringsNoBurst() {
+    void ceilingShareIsEvenAndARestartBringsNoBurst() {
         int me = State.ranked(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
         double spent = 0;
         for (int life = 0; life < 4; life++) {
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void eventsForWhatIsNotHeldArePassedOver() {
+    void eventsForUnknownRequestsAreIgnored() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         g.brain.attemptEnded(g.now, new AttemptResult("x", 0, "a1", Outcome.OK, 1, true, 0, 0, new double[0]));
         g.brain.clientDisconnected(g.now, "x");
--- a/src/test/java/caperrudder/policy/DecisionsTest.java
+++ b/src/test/java/caperrudder/policy/TrafficPolicyTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Release, host health, determinism and the module's size. */
-class DecisionsTest {
+/** Scheduling, retries and endpoint choice of one gateway as a whole; determinism; the size of the policy. */
+class TrafficPolicyTest {
     private static final int FILE_LINES = 1200; // not blank, of the longest file
 
-    private static void askLate(FakeGateway g, String id, double waited, int spread, long customer) {
+    private static void requestThatWaited(FakeGateway g, String id, double waited, int spread, long customer) {
         g.brain.requestReceived(
                 g.now,
                 new Request(id, g.now + 3000 - waited, g.now - waited, false, "read", customer, "small", 1, 0, spread));
@@ -37,10 +37,10 @@
 
     /** What a stall of the gateway has used up is not decided past half of its time, nor sent for nobody. */
     @Test
-    void whatIsReadTooLateIsRefusedAtOnceAndWhatIsNotIsServed() {
+    void requestReadTooLateIsRejectedAtOnceAndAYoungerOneIsServed() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
-        askLate(g, "old", 1300, 1, 1);
-        askLate(g, "young", 300, 1, 1);
+        requestThatWaited(g, "old", 1300, 1, 1);
+        requestThatWaited(g, "young", 300, 1, 1);
         assertEquals(List.of("old"), g.refused);
         assertEquals(1, g.sends("young"));
         assertEquals(0, g.sends("old"));
@@ -48,16 +48,16 @@
 
     /** A stall once held both keepers for silent, and refused what the customer's part had room for. */
     @Test
-    void aLateLoopAsksNoKeeperAndBlamesNone() {
+    void duringAnEventLoopStallNoOwnerIsAskedAndNoneIsBlamed() {
         long theirs = 1;
         FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 2)).withHosts("a1");
         while (State.ranked(theirs, 0, 2, 2, 1)[0] == 0) {
             theirs++;
         }
         g.pass(100); // timers run, and messages have their gap
-        askLate(g, "asks", 0, 2, theirs);
+        requestThatWaited(g, "asks", 0, 2, theirs);
         assertEquals(0, g.sends("asks"));
-        askLate(g, "late", 200, 2, theirs);
+        requestThatWaited(g, "late", 200, 2, theirs);
         assertEquals(1, g.sends("late"));
         g.now += 400; // a stall: the answer may stand unread
         g.brain.timerFired(g.now, "beat");
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void inFlightIsBoundedAndTheRestIsHeldOrRefused() {
+    void attemptsInFlightAreBoundedAndOtherRequestsWaitOrAreRejected() {
         // ia17a29: without a bound, hosts were overdriven within seconds and stayed slow
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
         for (int i = 0; i < 200; i++) {
@@ -80,7 +80,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aFewSilentAttemptsDoNotLookLikeQueuesAtTheHosts(boolean silent) {
+    void fewTimeoutsDoNotLowerTheConcurrencyLimit(boolean silent) {
         // Two time-outs of three seconds among twenty quick answers once halved the places within a second.
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 200; i++) {
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void whereMostAttemptsTimeOutTheHostsGetFewer() {
+    void timeoutsOfMostAttemptsLowerTheConcurrencyLimit() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 60; i++) {
             g.ask("p" + i, "pay");
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void aPlaceFreedGoesToAHeldRequest() {
+    void freedSlotGoesToAWaitingRequest() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         for (int i = 0; i < 30; i++) {
             g.ask("r" + i, "read");
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void aHostThatFailsFastDoesNotLookIdle() {
+    void hostThatFailsFastIsNotPreferredAsIdle() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 60; i++) {
             String id = "r" + i;
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void anOverdueAttemptIsCalledBackWhereItMayRunElsewhere() {
+    void overdueAttemptIsCancelledWhereItMayRunElsewhere() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1", "b2");
         for (int i = 0; i < 60; i++) {
             g.ask("w" + i, "read");
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void manyGatewaysDoNotGatherOnOneHost() {
+    void manyGatewaysSpreadOverAllHosts() {
         // each knows next to nothing of the hosts: the best by own counts would be the same for all
         String[] hosts = IntStream.range(0, 60)
                 .mapToObj(i -> "abc".charAt(i % 3) + "" + i)
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void aHostJustStartedIsNotPushedOverByHundredsOfGateways() {
+    void hostInSlowStartIsNotOverloadedByHundredsOfGateways() {
         // one free send a gateway would be hundreds at once (rule 4)
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void aHostThatFailsOneClassStillServesTheOthers() {
+    void hostThatFailsOneClassStillServesTheOthers() {
         // port-louis-archi-later overload 0.28: hosts silent for one class were slow for all and still got it
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         int orders = 0;
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void hundredsOfGatewaysKeepToEquallyManyHostsEach() {
+    void hundredsOfGatewaysUseSubsetsThatLoadAllHostsEvenly() {
         // i2e3387: every gateway met every host, and tables full of idle connections refused new ones
         String[] hosts = IntStream.range(0, 65)
                 .mapToObj(i -> "abc".charAt(i % 3) + "" + i)
@@ -245,7 +245,7 @@
     }
 
     @Test
-    void aHostThatTakesNoConnectionTwiceIsLeftAlone() {
+    void hostThatRefusesTwoConnectionsIsAvoided() {
         // i412b8a: hosts with full tables were tried again and again by a gateway without a connection to them
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         g.ask("r", "read");
@@ -265,7 +265,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"CONNECT_FAILED", "RESET", "ERROR"})
-    void oneFailureBetweenGoodAnswersKeepsNoHostIdle(Outcome failure) {
+    void singleFailureBetweenSuccessesLeavesNoHostIdle(Outcome failure) {
         // On a network that breaks one connection in ten, most hosts stood condemned and idle at any time.
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         g.ask("r", "read");
@@ -278,7 +278,7 @@
     }
 
     @Test
-    void whenMostLookBadServiceGoesOn() {
+    void serviceGoesOnWhenMostHostsLookBad() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
         for (int i = 0; i < 12; i++) {
             g.ask("r" + i, "read");
@@ -293,12 +293,12 @@
     }
 
     @Test
-    void equalEventsGiveEqualActions() {
-        assertEquals(story(3), story(3));
-        assertFalse(story(3).isEmpty());
+    void equalEventsAndSeedGiveEqualActions() {
+        assertEquals(playedActions(3), playedActions(3));
+        assertFalse(playedActions(3).isEmpty());
     }
 
-    private static List<String> story(long seed) {
+    private static List<String> playedActions(long seed) {
         FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
         Random random = new Random(seed);
         List<String> open = new ArrayList<>();
