--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -1,6 +1,9 @@
 package caperrudder.policy;
 
 import caperrudder.api.Request;
+import caperrudder.policy.gossip.OwnerRequest;
+import caperrudder.policy.quota.CustomerQuota;
+import caperrudder.policy.quota.QuotaRequest;
 import caperrudder.policy.scheduling.Schedulable;
 import caperrudder.policy.scheduling.TrafficClass;
 import java.util.ArrayList;
@@ -10,7 +13,7 @@
  * A request from its arrival until it is closed and all of its attempts have ended. It is closed once nothing more is
  * due to its client. Times are milliseconds of the policy's clock. Confined to the policy's thread.
  */
-final class PendingRequest implements Schedulable {
+final class PendingRequest implements Schedulable, QuotaRequest {
     private static final int USUAL_ATTEMPTS = 2;
 
     private final Request request;
@@ -24,10 +27,7 @@
     private boolean admitted;
     private boolean responding;
     private boolean closed;
-    int stage; // which of the customer's keepers is asked
-    int keeper; // its number
-    int askSerial; // of the message that asked
-    double answerBy; // when its answer counts as missing
+    private OwnerRequest ownerRequest;
 
     /** {@code quota}: of the customer, or null where the settings do not name its plan. */
     PendingRequest(Request request, TrafficClass trafficClass, CustomerQuota quota) {
@@ -57,16 +57,37 @@
         return trafficClass.latency().expectedMs(request.units());
     }
 
-    /** Its size in quota units. */
-    double units() {
+    @Override
+    public double units() {
         return request.units();
     }
 
+    @Override
+    public boolean isClientRetry() {
+        return request.clientRetry();
+    }
+
+    @Override
+    public double expectedValueShare() {
+        double inTime = trafficClass.shareWithinObjective(expectedWorkMs());
+        return inTime + (1 - inTime) * trafficClass.spec().lateValue();
+    }
+
     /** The quota of its customer, or null where the settings do not name its plan. */
     CustomerQuota quota() {
         return quota;
     }
 
+    /** Its admission is up to an owner of the quota. */
+    void awaitOwner(OwnerRequest newOwnerRequest) {
+        ownerRequest = newOwnerRequest;
+    }
+
+    /** What was asked of an owner of its quota, or null where none was asked. */
+    OwnerRequest ownerRequest() {
+        return ownerRequest;
+    }
+
     /** Since when its client waits: its arrival, or the end of its body where that came later. */
     double arrivedAt() {
         return arrivedAt;
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -7,14 +7,20 @@
 import caperrudder.api.HostListKind;
 import caperrudder.api.Idempotency;
 import caperrudder.api.Outcome;
-import caperrudder.api.Plan;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Request;
-import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
 import caperrudder.api.Snapshot;
+import caperrudder.policy.gossip.OwnerRequest;
+import caperrudder.policy.gossip.QuotaApplicant;
+import caperrudder.policy.gossip.QuotaGossip;
+import caperrudder.policy.gossip.QuotaOwnership;
+import caperrudder.policy.quota.AdmissionControl;
+import caperrudder.policy.quota.AdmissionVerdict;
+import caperrudder.policy.quota.CustomerQuota;
+import caperrudder.policy.quota.QuotaTable;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
 import caperrudder.policy.scheduling.Dispatcher;
 import caperrudder.policy.scheduling.FairScheduler;
@@ -23,17 +29,12 @@
 import caperrudder.policy.scheduling.TrafficClasses;
 import caperrudder.policy.scheduling.WeightController;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
-import java.util.OptionalDouble;
 import java.util.Random;
-import java.util.stream.IntStream;
 
 /**
  * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
@@ -45,29 +46,7 @@
     static final double TICK_MS = 20;
 
     private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
-    private static final double FORGET_MS = 20_000; // idle so long a customer is forgotten, and not before
-    private static final double FILLED = 2; // times the time in which its slowest store fills from nothing
-    private static final int CUSTOMERS_MAX = 20_000; // books kept; a new customer beyond them is refused
-    // Admission by parts
-    private static final double DEMAND_MS = 2000; // averaging of demand: longer than gaps between requests
-    private static final double EVEN_PRIOR = 0.05; // of the rate, added to a set's demand: all have a part
-    private static final double FRESH_MS = 1000; // a keeper's word this old no longer lets in without asking
-    private static final double RELAX_MS = 3000; // and from here on the part is the even one
-    private static final double LAG_MS = 60; // a told figure's age on arrival: half a gap and the way
-    private static final double METER_LAG_MS = 1300; // a metered figure's age: half its period and the way
-    private static final double METER_KEPT_MS = 20_000; // a metered figure this old tells nothing any more
-    private static final double OPEN_PART = 0.25; // of a set: so many of it may bring a customer at a time
-    private static final double PEAK_TURNS = 1.5; // a peak holds so often as each of a set lets in one
-    private static final double SPARE = 2; // times its units in the store, where no word of others is fresh
-    private static final double WARY = 0.6; // of the rate: what others may use unseen beside their demand
-    private static final double RISE_SHARE = 0.5; // of the even part: the largest step by which a part rises
-    private static final double LATE_COST = 2; // requests that one more delays, where all hosts queue
-    // Keepers and tells
-    private static final int KEEPERS = 2; // gateways of a set that keep its books: one may be down
-    private static final double ANSWER_MS = 150; // a due answer is missing after so long
-    private static final double SILENT_MS = 1000; // a peer that missed an answer is not asked so long
-    private static final double SYNC_MS = 300; // how often a keeper tells the other keeper of a customer
-    private static final double OWNER_SHARE = 0.5; // of a ceiling, held by the first keeper; the rest evenly
+    private static final double RESUBSCRIBE_AFTER_MS = 3000; // after a call for the endpoint list failed
     // Waiting requests
     private static final int SCAN = 16; // held requests passed over for want of a legal host, a turn
     // Hosts
@@ -96,21 +75,17 @@
     private ConcurrencyLimit limit;
     private FairScheduler<PendingRequest, Endpoint> scheduler;
     private WeightController weights;
-    private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
-    private final Map<Integer, AdmissionOdds> firstOdds = new HashMap<>();
-    private final Map<Integer, AdmissionOdds> retryOdds = new HashMap<>();
-    private final Map<Long, CustomerQuota> customers = new LinkedHashMap<>();
     private final Map<String, PendingRequest> asks = new LinkedHashMap<>();
-    private final LinkedHashSet<PendingRequest> questions = new LinkedHashSet<>();
     private final Map<Endpoint, LinkedHashSet<Attempt>> atWork = new LinkedHashMap<>();
     EndpointTable table;
     List<Endpoint> homes = List.of();
     private Endpoint coldest; // of the homes: the one that started last
-    private PeerState[] peers = new PeerState[0];
+    private QuotaTable quotas;
+    private QuotaGossip gossip;
+    private AdmissionControl admission;
     private Settings set;
     private Random random;
-    private GossipOutbox outbox;
-    private double startedAt, sweptAt, surveyedAt;
+    private double sweptAt, surveyedAt;
     double capacity;
     private double lost; // what cold and bad hosts can't do of it, as last counted
     private double crowd; // requests that a warm host holds on the mean of all reports
@@ -127,17 +102,15 @@
     public void start(double now, Settings settings) {
         set = settings;
         random = new Random(settings.seed());
-        startedAt = now;
-        peers = new PeerState[Math.max(1, settings.gatewayCount())];
-        Arrays.setAll(peers, PeerState::new);
-        outbox = new GossipOutbox(now, peers.length, settings.sharing().peerMessagesPerSecond(), act);
-        table = new EndpointTable(peers.length > STEADY);
+        QuotaOwnership ownership = new QuotaOwnership(now, settings);
+        quotas = new QuotaTable(now, settings, ownership);
+        gossip = new QuotaGossip(now, settings, quotas, ownership, act);
+        admission = new AdmissionControl(settings, quotas, ownership, gossip, lateness::share);
+        table = new EndpointTable(gatewayCount() > STEADY);
         classes = new TrafficClasses(settings);
-        limit = new ConcurrencyLimit(now, peers.length, classes.all());
+        limit = new ConcurrencyLimit(now, gatewayCount(), classes.all());
         scheduler = new FairScheduler<>(classes.all(), limit, new AttemptDispatcher());
         weights = new WeightController(now, classes.all(), limit);
-        for (int i = 0; i < settings.plans().size(); i++)
-            planNumbers.put(settings.plans().get(i).name(), i);
         sweptAt = surveyedAt = now;
         stalls = new EventLoopStalls(now, TICK_MS);
         retries = new RetryPolicy(settings.limits());
@@ -148,7 +121,7 @@
 
     @Override
     public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
-        if (kind == HostListKind.FAILED) act.startTimer(RELAX_MS, "watch");
+        if (kind == HostListKind.FAILED) act.startTimer(RESUBSCRIBE_AFTER_MS, "watch");
         if (kind == HostListKind.FAILED) return;
         if (kind != HostListKind.CHANGES) table.beginList();
         for (Host h : hosts) {
@@ -171,8 +144,10 @@
         TrafficClass cls = classes.find(r.requestClass());
         if (cls == null) act.reject(r.id(), 0); // a class that the settings do not name cannot be judged
         if (cls == null) return;
-        Integer plan = planNumbers.get(r.plan());
-        CustomerQuota c = plan == null ? null : customer(now, r.customer(), plan, r.firstReplica(), r.replicaCount());
+        int plan = quotas.planNumber(r.plan());
+        boolean planKnown = plan != QuotaTable.UNKNOWN_PLAN;
+        CustomerQuota c =
+                planKnown ? quotas.findOrCreate(now, r.customer(), plan, r.firstReplica(), r.replicaCount()) : null;
         PendingRequest ask = new PendingRequest(r, cls, c);
         asks.put(r.id(), ask);
         // A stall of ours has used up its time: it is told so at once, before it costs others theirs. It
@@ -181,22 +156,56 @@
             finish(ask);
             return;
         }
-        boolean stranger = plan != null && c == null; // there is no room for its books
-        switch (stranger ? Verdict.OUT : c == null ? Verdict.IN : judge(now, ask)) {
-            case IN -> letIn(now, ask);
-            case OUT -> decide(now, ask, false);
-                // While this loop is late no answer would be heard in time, so the own part decides.
-            default -> question(now, ask, now - r.arrivedMs() < ANSWER_MS / 2 ? 0 : KEEPERS);
+        switch (evaluate(now, ask, planKnown)) {
+            case ADMIT -> letIn(now, ask);
+            case REJECT -> decide(now, ask, false);
+            case ASK_OWNER -> {
+                OwnerRequest ownerRequest = new OwnerRequest(c, new HeldRequest(ask));
+                ask.awaitOwner(ownerRequest);
+                gossip.ask(now, ownerRequest, r.arrivedMs());
+            }
+        }
+        if (c != null && ask.isAdmitted()) gossip.quotaChanged(now, c);
+        gossip.flush(now);
+    }
+
+    private AdmissionVerdict evaluate(double now, PendingRequest ask, boolean planKnown) {
+        if (ask.quota() != null) return admission.evaluate(now, ask.quota(), ask);
+        return planKnown ? AdmissionVerdict.REJECT : AdmissionVerdict.ADMIT; // known, but the table is full
+    }
+
+    /** A request whose decision is up to an owner of its customer's quota. */
+    private final class HeldRequest implements QuotaApplicant {
+        private final PendingRequest ask;
+
+        HeldRequest(PendingRequest ask) {
+            this.ask = ask;
+        }
+
+        @Override
+        public double units() {
+            return ask.units();
+        }
+
+        @Override
+        public double decisionDueAt() {
+            return RequestExpiry.answerDueAt(ask);
+        }
+
+        @Override
+        public boolean isSettled() {
+            return ask.isClosed() || ask.isAdmitted();
+        }
+
+        @Override
+        public void decided(double now, boolean admitted) {
+            decide(now, ask, admitted);
         }
-        if (c != null && ask.isAdmitted()) changed(now, c);
-        post(now);
     }
 
     private void letIn(double now, PendingRequest ask) {
         ask.markAdmitted();
-        CustomerQuota c = ask.quota();
-        if (c != null) noteOpen(now, c, ask.expectedWorkMs());
-        if (c != null) charge(c, ask.units(), ask.units());
+        if (ask.quota() != null) ask.quota().admitted(now, ask.units(), ask.expectedWorkMs());
         scheduler.enqueue(ask);
         release(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
@@ -204,17 +213,6 @@
         if (held && now + scheduler.drainTimeMs(ask.trafficClass()) >= RequestExpiry.expiresAt(ask)) finish(ask);
     }
 
-    /**
-     * Where the meter alone tells of others, a gateway that lets in one after another counts on many that do
-     * the same: the next one comes no sooner than if some of the set in turn kept the limit in use.
-     */
-    private void noteOpen(double now, CustomerQuota c, double work) {
-        c.openPeak = Math.max(c.openPeak, ++c.open);
-        boolean alone = c.spread == 1 || c.plan.concurrencyLimit() <= 0 || c.plan.unitsPerSecond() > 0 || !metered();
-        c.openTurnMs = alone ? 0 : c.spread * work / c.plan.concurrencyLimit();
-        c.openNextAt = now + OPEN_PART * c.openTurnMs;
-    }
-
     @Override
     public void requestCompleted(double now, String id, double deadlineMs) {
         PendingRequest ask = asks.get(id);
@@ -277,20 +275,20 @@
         act.startTimer(TICK_MS, "beat");
         noteStall(now);
         expire(now);
-        missAnswers(now);
+        gossip.checkOverdueReplies(now);
         if (now - surveyedAt >= SURVEY_MS) survey(now);
         watchHealth(now);
         limit.adapt(now);
         weights.update(now);
         sweep(now);
         release(now);
-        post(now);
+        gossip.flush(now);
     }
 
     /** What came while this gateway stood still is read only now: no peer or host is blamed for that. */
     private void noteStall(double now) {
         double late = stalls.noteTick(now);
-        if (late > 0) questions.forEach(a -> a.answerBy += late);
+        if (late > 0) gossip.stalled(late);
     }
 
     /** Avoided is what the list says not to use, and what has done so badly that others come before it. */
@@ -306,444 +304,30 @@
 
     @Override
     public Snapshot takeSnapshot(double now) {
-        return new SnapshotTransfer(customers, table, classes).write(now, limit.perHost(), c -> touch(now, c));
+        return new SnapshotTransfer(table, classes).write(now, limit.perHost(), quotas.snapshot(now));
     }
 
     /** Before the first request all is taken over; from then on only what the other process still uses. */
     @Override
     public void restoreSnapshot(double now, Snapshot books) {
-        for (QuotaSnapshot b : books.quotas()) inherit(now, books.takenAtMs(), b);
+        for (QuotaSnapshot b : books.quotas()) quotas.restore(now, books.takenAtMs(), b);
         if (!asks.isEmpty() || classes.haveSamples()) return;
         limit.restore(books.concurrencyPerHost());
-        new SnapshotTransfer(customers, table, classes).readHealth(now, books.health());
+        new SnapshotTransfer(table, classes).readHealth(now, books.health());
         classes.restore(books.classes());
     }
 
-    private void inherit(double now, double at, QuotaSnapshot b) {
-        boolean known = customers.containsKey(b.customer());
-        Integer plan = planNumbers.get(b.plan());
-        CustomerQuota c = plan == null ? null : customer(now, b.customer(), plan, b.firstReplica(), b.replicaCount());
-        if (c == null || c.planNumber != plan) return;
-        if (known && c.inherited > State.NEVER) {
-            charge(c, Math.max(0, b.usedUnits() - c.inherited), 0);
-        } else {
-            SnapshotTransfer.readCustomer(now, c, b, known ? c.used : 0);
-            if (!known) c.touchedAt = Math.min(now, at);
-            touch(now, c);
-        }
-        c.inherited = Math.max(c.inherited, b.usedUnits());
-    }
-
-    // ---- admission by parts
-
-    private enum Verdict {
-        IN,
-        OUT,
-        ASK
-    }
-
-    /**
-     * A customer's books; null where there is no room for new ones. The plan and the set that came first
-     * stand as long as it is remembered: who claims others gets no fresh stores and moves no keeper.
-     */
-    private CustomerQuota customer(double now, long id, int plan, int first, int spread) {
-        CustomerQuota c = customers.get(id);
-        if (c == null && customers.size() >= CUSTOMERS_MAX) return null;
-        if (c == null) {
-            Plan p = set.plans().get(plan);
-            int wide = Math.max(1, Math.min(spread, peers.length));
-            int[] keepers = State.ranked(id, first, wide, peers.length, KEEPERS);
-            c = new CustomerQuota(id, plan, p, first, wide, keepers, now);
-            c.level = c.store = p.burstUnits();
-            // As full as it ever is; by the meter no more than its part, or all first tries would be let in.
-            c.tokens = metered() ? p.burstUnits() / c.spread : bucket(p, 1.0 / c.spread);
-            // The ceiling's store starts with what has filled since this gateway started, never with a burst:
-            // before a restart this gateway may have spent it (rule 5).
-            double filled = (now - startedAt) / 1000 * p.ceilingUnitsPerSecond() * ceilingShare(c);
-            c.ceiling = Math.min(ceilingHold(c), filled);
-            customers.put(id, c);
-        }
-        touch(now, c);
-        return c;
-    }
-
-    /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
-    private double ceilingShare(CustomerQuota c) {
-        if (c.spread == 1) return 1;
-        return (c.keepers[0] == set.gatewayIndex() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
-    }
-
-    private double ceilingHold(CustomerQuota c) {
-        return c.plan.ceilingBurstUnits() * ceilingShare(c);
-    }
-
-    private void touch(double now, CustomerQuota c) {
-        double s = (now - c.touchedAt) / 1000;
-        if (s <= 0) return;
-        double fade = Math.exp(-(now - c.touchedAt) / DEMAND_MS);
-        Plan p = c.plan;
-        double part = part(now, c);
-        c.demand *= fade;
-        c.others *= fade;
-        c.useRate *= fade;
-        c.openPeak = Math.max(c.open, c.openPeak * fade);
-        c.touchedAt = now;
-        c.level = Math.min(p.burstUnits(), c.level + p.unitsPerSecond() * s);
-        // What is let in beyond the quota takes nothing from the store: others do not empty it below nought.
-        double others = now - c.meterAt < METER_KEPT_MS ? c.meterOthers : 0;
-        c.store = Math.max(0, Math.min(p.burstUnits(), c.store + (p.unitsPerSecond() - others) * s));
-        c.tokens = Math.min(bucket(p, part), c.tokens + part * p.unitsPerSecond() * s);
-        // Units let in but not sent yet are still in the true store, and it may not overfill (rule 5).
-        c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + p.ceilingUnitsPerSecond() * ceilingShare(c) * s);
-    }
-
-    /** What a bucket holds: the burst times its part, and room for one request, or it could let in none. */
-    private double bucket(Plan p, double part) {
-        return Math.max(
-                part * p.burstUnits(), Math.min(p.burstUnits(), set.sharing().maxUnits()));
-    }
-
-    /** Whether gateways learn of each other's use by the meter alone. */
-    private boolean metered() {
-        return !set.limits().peerMessages() && set.sharing().meterPeriodMs() > 0;
-    }
-
-    /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
-    private double part(double now, CustomerQuota c) {
-        if (c.spread == 1) return 1;
-        if (!set.limits().peerMessages()) return now - c.meterAt < METER_KEPT_MS ? c.meterPart : 1.0 / c.spread;
-        if (now - c.newsAt > RELAX_MS && keeper(now, c, 0) != set.gatewayIndex()) return 1.0 / c.spread;
-        double prior = EVEN_PRIOR * c.plan.unitsPerSecond();
-        return (c.demand + prior / c.spread) / (c.demand + c.others + prior);
-    }
-
-    /** The gateway that decides on a customer, from its keeper {@code stage} on; -1 where none can be had. */
-    private int keeper(double now, CustomerQuota c, int stage) {
-        for (int i = stage; i < c.keepers.length; i++) {
-            int k = c.keepers[i];
-            boolean last = i == c.keepers.length - 1;
-            if (k == set.gatewayIndex() ? last || !unsure(now, c) : now >= peers[k].silentTill) return k;
-        }
-        return c.keepers[0] == set.gatewayIndex() ? set.gatewayIndex() : -1;
-    }
-
-    /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
-    private boolean unsure(double now, CustomerQuota c) {
-        return !c.informed && (now - startedAt) / 1000 * c.plan.unitsPerSecond() < c.plan.burstUnits();
-    }
-
-    private Verdict judge(double now, PendingRequest ask) {
-        CustomerQuota c = ask.quota();
-        double units = ask.units();
-        c.demand += units / DEMAND_MS * 1000;
-        Plan p = c.plan;
-        boolean excessPays = p.overQuotaValue() > 0 && p.overQuotaValue() >= p.overQuotaCost();
-        boolean limited = p.unitsPerSecond() > 0 && !excessPays;
-        if (!excessPays && !openAdmits(now, c) || limited && c.level < units) {
-            if (now - c.toldAt > SYNC_MS) changed(now, c);
-            return Verdict.OUT;
-        }
-        boolean asks = set.limits().peerMessages() && c.spread > 1;
-        if (!excessPays && metered() && c.spread > 1 && !oddsAdmit(now, ask)) return Verdict.OUT;
-        int keeper = keeper(now, c, 0);
-        boolean room = !limited
-                || keeper == set.gatewayIndex() && asks
-                || c.tokens >= units && (!asks || now - c.newsAt < FRESH_MS)
-                || asks && now - c.newsAt < FRESH_MS && c.level - reserve(now, c) >= units
-                || metered() && meterAdmits(now, c, units);
-        boolean ceiling = p.ceilingUnitsPerSecond() <= 0 || c.ceiling >= units; // rule 5: own units need no peer
-        if (room && ceiling) return Verdict.IN;
-        return asks ? Verdict.ASK : Verdict.OUT;
-    }
-
-    /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
-    private double reserve(double now, CustomerQuota c) {
-        double cost = c.plan.overQuotaCost() - c.plan.overQuotaValue();
-        double rate = c.others + WARY * c.plan.unitsPerSecond();
-        return rate * (now - c.newsAt + LAG_MS) / 1000 * 2 * cost / (1 + cost);
-    }
-
-    /**
-     * Room in the whole store by the meter. Among many gateways each meets a customer seldom, and its part of
-     * the bucket is less than a request: if all waited for fresh word, all would refuse one whose store is
-     * full. So what others use is held against it only while the last figure is fresh and over the rate.
-     */
-    private static boolean meterAdmits(double now, CustomerQuota c, double units) {
-        double age = now - c.meterAt;
-        if (age < FRESH_MS && c.meterTotal > c.plan.unitsPerSecond()) {
-            return c.store - c.meterOthers * (age + METER_LAG_MS) / 1000 >= units;
-        }
-        return c.store >= Math.min(c.plan.burstUnits(), SPARE * units);
-    }
-
-    /** Whether a try is worth its odds of being beyond the quota, which the meter alone tells of. */
-    private boolean oddsAdmit(double now, PendingRequest ask) {
-        CustomerQuota c = ask.quota();
-        RequestClass spec = ask.trafficClass().spec();
-        double inTime = ask.trafficClass().shareWithinObjective(ask.expectedWorkMs());
-        double useful = inTime + (1 - inTime) * spec.lateValue();
-        return odds(ask).admits(now, ask.units(), useful, LATE_COST * lateness.share(), now - c.meterAt, c.meterUse);
-    }
-
-    /** Where clients mark a further try, one has been refused already: its odds are others. */
-    private AdmissionOdds odds(PendingRequest ask) {
-        Map<Integer, AdmissionOdds> ofPlans = ask.request().clientRetry() ? retryOdds : firstOdds;
-        return ofPlans.computeIfAbsent(
-                ask.quota().planNumber,
-                p -> new AdmissionOdds(ask.quota().plan, set.sharing().meterPeriodMs()));
-    }
-
-    private boolean openAdmits(double now, CustomerQuota c) {
-        int limit = c.plan.concurrencyLimit();
-        boolean fresh = c.spread == 1
-                || (set.limits().peerMessages()
-                        ? keeper(now, c, 0) == set.gatewayIndex() || now - c.newsAt < FRESH_MS
-                        : now < c.peakTill);
-        return limit <= 0
-                || now >= c.openNextAt
-                        && (fresh ? c.open + c.othersOpen < limit : c.open < Math.max(1, (int) (limit * part(now, c))));
-    }
-
-    /** When the store has filled enough, or a place may be had; every refusal tells a time to come back. */
-    private static double refillMs(double now, CustomerQuota c, double units) {
-        return c.plan.unitsPerSecond() > 0 ? 1000 * (units - c.level) / c.plan.unitsPerSecond() : c.openNextAt - now;
-    }
-
-    /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
-    private void charge(CustomerQuota c, double units, double ceilingUnits) {
-        c.tokens = Math.max(c.tokens - units, -c.plan.burstUnits() / c.spread);
-        c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), c.level - units));
-        c.store = Math.max(0, Math.min(c.plan.burstUnits(), c.store - units));
-        c.used += units;
-        c.useRate += units / DEMAND_MS * 1000;
-        c.unsent += ceilingUnits;
-        c.ceiling -= ceilingUnits;
-    }
-
-    private void meter(double now, PendingRequest ask, int usedPct) {
-        CustomerQuota c = ask.quota();
-        if (usedPct <= 0 || !metered()) return;
-        c.meterUse = (usedPct - 1) / 100.0;
-        if (odds(ask).isUnknown(now - c.meterAt)) odds(ask).learn(now, ask.units(), c.meterUse);
-        if (c.plan.unitsPerSecond() <= 0) { // it tells the most attempts out at once of late, in percent of their limit
-            touch(now, c);
-            double peak = c.meterUse * c.plan.concurrencyLimit();
-            c.othersOpen = c.spread == 1 ? 0 : (int) Math.max(0, Math.round(peak - c.openPeak));
-            c.meterPart = 1.0 / c.spread;
-            c.meterAt = now;
-            // So long that if each gateway then let in one, these would be half of the limit on the mean.
-            c.peakTill = now + PEAK_TURNS * c.openTurnMs;
-            return;
-        }
-        double total = c.meterUse * c.plan.unitsPerSecond();
-        double part = total > 0 ? Math.min(1, c.useRate / total) : 1.0 / c.spread;
-        boolean rises = total < c.plan.unitsPerSecond() && c.demand > part * c.plan.unitsPerSecond();
-        double step = Math.min(EVEN_PRIOR, RISE_SHARE / c.spread);
-        c.meterPart = rises ? Math.min(1, Math.max(part, c.meterPart) + step) : part;
-        c.meterAt = now;
-        c.meterTotal = total;
-        c.meterOthers = Math.max(0, total - c.useRate);
-    }
-
-    /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
-    private void question(double now, PendingRequest ask, int stage) {
-        CustomerQuota c = ask.quota();
-        int keeper = stage < c.keepers.length ? keeper(now, c, stage) : -1;
-        if (keeper < 0 || keeper == set.gatewayIndex() || now + ANSWER_MS >= RequestExpiry.answerDueAt(ask)) {
-            c.pending.remove(ask);
-            boolean room = c.plan.unitsPerSecond() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.units();
-            decide(now, ask, room && (c.plan.ceilingUnitsPerSecond() <= 0 || c.ceiling >= ask.units()));
-            changed(now, c);
-            return;
-        }
-        ask.stage = keeper == c.keepers[0] ? 0 : c.keepers.length - 1;
-        ask.keeper = keeper;
-        ask.askSerial = peers[keeper].serial + 1; // of the next message: the last one did not ask for it
-        ask.answerBy = now + ANSWER_MS;
-        if (!c.pending.contains(ask)) c.pending.addLast(ask);
-        questions.add(ask);
-        c.toldAt = now;
-        outbox.queue(peers[keeper], c);
-    }
-
     private void decide(double now, PendingRequest ask, boolean in) {
         if (in) letIn(now, ask);
         if (in) return;
         close(ask);
         CustomerQuota c = ask.quota();
-        act.reject(ask.id(), retryAfter.of(c == null ? FORGET_MS : refillMs(now, c, ask.units())));
-    }
-
-    /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
-    private void missAnswers(double now) {
-        questions.removeIf(a -> a.isClosed() || a.isAdmitted());
-        for (PendingRequest ask :
-                questions.stream().filter(a -> now >= a.answerBy).toList()) {
-            questions.remove(ask);
-            peers[ask.keeper].silentTill = now + SILENT_MS;
-            touch(now, ask.quota());
-            question(now, ask, ask.stage + 1);
-        }
-    }
-
-    /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
-    private void changed(double now, CustomerQuota c) {
-        if (!set.limits().peerMessages() || c.spread == 1) return;
-        int keeper = keeper(now, c, 0);
-        if (keeper != set.gatewayIndex()) {
-            c.toldAt = now;
-            if (keeper >= 0) outbox.queue(peers[keeper], c);
-        } else if (now - c.toldAt > SYNC_MS) {
-            c.toldAt = now;
-            IntStream.of(c.keepers).filter(k -> k != set.gatewayIndex()).forEach(k -> outbox.queue(peers[k], c));
-        }
-    }
-
-    private void post(double now) {
-        outbox.post(now, (peer, c, answers) -> {
-            touch(now, c);
-            return answers ? answer(now, c, peer) : tellOf(now, c, peer);
-        });
-    }
-
-    private QuotaEntry tellOf(double now, CustomerQuota c, PeerState keeper) {
-        for (PendingRequest a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
-        double want = c.pendingUnits();
-        boolean asked = keeper(now, c, 0) == keeper.number
-                || now < keeper.silentTill
-                || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
-        boolean view = keeper(now, c, 0) == set.gatewayIndex() || now - c.newsAt < FRESH_MS;
-        return new ReplicaReport(
-                c.id,
-                c.planNumber,
-                c.first,
-                c.spread,
-                c.used,
-                want,
-                c.demand,
-                c.open,
-                view ? OptionalDouble.of(c.fullness()) : OptionalDouble.empty(),
-                asked,
-                c.plan.ceilingUnitsPerSecond() > 0 && c.ceiling < want);
-    }
-
-    private QuotaEntry answer(double now, CustomerQuota c, PeerState to) {
-        ReplicaState m = c.member(to);
-        double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS);
-        return new OwnerReply(
-                c.id,
-                c.planNumber,
-                m.booked,
-                m.granted,
-                Math.max(0, c.demand + c.others - theirs),
-                c.open + c.othersOpen - m.open,
-                c.fullness(),
-                unsure(now, c),
-                c.plan.ceilingUnitsPerSecond() > 0 ? OptionalDouble.of(m.given) : OptionalDouble.empty());
+        act.reject(ask.id(), retryAfter.of(c == null ? QuotaTable.FORGET_AFTER_MS : c.retryAfterMs(now, ask.units())));
     }
 
     @Override
-    public void peerMessageReceived(double now, int from, byte[] data) {
-        if (from < 0 || from >= peers.length || from == set.gatewayIndex()) return; // unknown sender
-        Optional<QuotaMessage> decoded = QuotaMessageCodec.decode(data);
-        if (decoded.isEmpty()) return; // damaged
-        QuotaMessage tell = decoded.get();
-        PeerState peer = peers[from];
-        if (!outbox.takesIn(now, peer, tell)) return;
-        boolean toThisLife = tell.receiverIncarnation() == outbox.epoch();
-        for (QuotaEntry e : tell.entries()) {
-            if (e.planNumber() >= set.plans().size()) continue;
-            if (e instanceof OwnerReply reply) hearAnswer(now, peer, reply, tell.acknowledgedSerial(), toThisLife);
-            else if (e instanceof ReplicaReport report) hearTell(now, peer, report);
-        }
-        post(now);
-    }
-
-    /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void hearTell(double now, PeerState peer, ReplicaReport e) {
-        int place = Math.floorMod(peer.number - e.firstReplica(), peers.length);
-        if (e.replicaCount() > peers.length || place >= e.replicaCount()) return; // a set that cannot be
-        CustomerQuota c = customer(now, e.customer(), e.planNumber(), e.firstReplica(), e.replicaCount());
-        if (c == null) return;
-        if (IntStream.of(c.keepers).noneMatch(k -> k == set.gatewayIndex())) return;
-        boolean unsure = unsure(now, c);
-        boolean adopts = e.fullness().isPresent() && (unsure || keeper(now, c, 0) == peer.number);
-        if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
-            c.level = Math.min(
-                    unsure ? c.level : c.plan.burstUnits(), e.fullness().getAsDouble() * c.plan.burstUnits());
-            c.informed = true;
-        }
-        ReplicaState m = c.member(peer);
-        c.others = Math.max(0, c.others + e.demandPerSecond() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS));
-        m.demand = e.demandPerSecond();
-        m.demandAt = now;
-        // Given back is at most what was granted or open. A count that falls further began anew, since its
-        // sender had forgotten the customer, and would fill the store.
-        double back = m.granted + m.open * set.sharing().maxUnits();
-        c.othersOpen += e.openRequests() - m.open;
-        m.open = e.openRequests();
-        double spent = m.known && !adopts ? Math.max(-back, SerialArithmetic.unitsAhead(e.usedUnits(), m.booked)) : 0;
-        m.known = true;
-        c.level = Math.max(-c.plan.burstUnits(), Math.min(c.plan.burstUnits(), c.level - spent));
-        boolean gives = e.wantsCeilingUnits() && c.plan.ceilingUnitsPerSecond() > 0;
-        boolean grants = e.wantedUnits() > 0
-                && (c.plan.unitsPerSecond() <= 0 || c.level >= e.wantedUnits())
-                && (!gives || c.ceiling >= e.wantedUnits());
-        m.granted = grants ? e.wantedUnits() : 0;
-        m.booked = e.usedUnits() + m.granted;
-        c.level -= m.granted;
-        if (keeper(now, c, 0) == set.gatewayIndex() && spent + m.granted != 0) changed(now, c);
-        if (grants && gives && e.wantsReply()) { // deducted here first, so a lost message loses units
-            c.ceiling -= e.wantedUnits();
-            m.given += e.wantedUnits();
-        }
-        if (e.wantsReply()) {
-            peer.answers.add(c);
-            outbox.queue(peer, null);
-        }
-    }
-
-    /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void hearAnswer(double now, PeerState peer, OwnerReply e, int mySerial, boolean toThisLife) {
-        CustomerQuota c = customers.get(e.customer());
-        if (c == null || !toThisLife) return;
-        touch(now, c);
-        if (c.planNumber != e.planNumber()) { // one of the two was told a wrong plan: this grants nothing
-            List<PendingRequest> asked =
-                    c.pending.stream().filter(a -> a.keeper == peer.number).toList();
-            asked.forEach(a -> decide(now, a, false));
-            return;
-        }
-        ReplicaState m = c.member(peer);
-        double given = e.ceilingUnitsGiven().orElse(0);
-        if (given > m.taken) {
-            c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + given - m.taken);
-            m.taken = given;
-        }
-        List<PendingRequest> judged = c.pending.stream()
-                .filter(a -> a.keeper == peer.number && !SerialArithmetic.isAfter(a.askSerial, mySerial))
-                .toList();
-        if (!e.uncertain()) {
-            c.others = e.othersDemandPerSecond();
-            c.othersOpen = e.othersOpenRequests();
-            c.newsAt = now;
-            c.informed = true;
-            c.level = e.fullness() * c.plan.burstUnits() - SerialArithmetic.unitsAhead(c.used, e.bookedUnits());
-        }
-        double granted = e.grantedUnits();
-        for (PendingRequest ask : judged) {
-            double units = ask.units();
-            if (e.uncertain() && ask.stage + 1 < c.keepers.length) {
-                question(now, ask, ask.stage + 1);
-                continue;
-            }
-            c.pending.remove(ask);
-            boolean in = granted >= units && (c.plan.ceilingUnitsPerSecond() <= 0 || c.ceiling >= units);
-            granted -= in ? units : 0;
-            decide(now, ask, in);
-            int first = c.keepers[0]; // it did not book what another let in
-            if (in && peer.number != first && first != set.gatewayIndex()) outbox.queue(peers[first], c);
-        }
+    public void peerMessageReceived(double now, int peer, byte[] data) {
+        if (gossip != null) gossip.receive(now, peer, data); // before the start no peer is known
     }
 
     /** Dispatches what may leave now. */
@@ -769,7 +353,7 @@
         if (first) {
             retries.noteFirstAttempt();
             ask.trafficClass().noteHold(now - ask.arrivedAt());
-            if (ask.quota() != null) ask.quota().unsent -= ask.units();
+            if (ask.quota() != null) ask.quota().sent(ask.units());
         }
         table.unsettled().add(s);
         if (!ask.isBodyPending()) place(now, a);
@@ -820,11 +404,11 @@
         scheduler.remove(ask);
         CustomerQuota c = ask.quota();
         if (c == null) return;
-        c.pending.remove(ask);
+        if (ask.ownerRequest() != null) gossip.withdraw(ask.ownerRequest());
         if (!ask.isAdmitted()) return;
-        c.open--;
+        c.closed();
         if (!ask.hasAttempts() || ask.isBodyPending()) { // let in but never sent whole: the units go back
-            charge(c, -ask.units(), -ask.units());
+            c.giveBack(ask.units());
         }
     }
 
@@ -854,12 +438,12 @@
      */
     private void keepHomes(double now) {
         int size = table.openCount();
-        int kept = Math.max(HOMES, HOST_GATEWAYS * size / peers.length);
-        boolean steady = peers.length > STEADY;
+        int kept = Math.max(HOMES, HOST_GATEWAYS * size / gatewayCount());
+        boolean steady = gatewayCount() > STEADY;
         long me = set.gatewayIndex();
-        long first = steady ? me * size / peers.length : me * kept % Math.max(1, size);
+        long first = steady ? me * size / gatewayCount() : me * kept % Math.max(1, size);
         List<Endpoint> run = steady && kept >= ARC
-                ? table.arc(set.gatewayIndex(), HOST_GATEWAYS, peers.length, HOMES)
+                ? table.arc(set.gatewayIndex(), HOST_GATEWAYS, gatewayCount(), HOMES)
                 : table.run((int) first, Math.min(kept, size));
         if (run != homes || surveyedAt == now) coldest = EndpointTable.lastStarted(run);
         homes = run;
@@ -1014,7 +598,7 @@
                 c.noteServed(r.latencyMs(), now - ask.arrivedAt(), ask.units());
                 lateness.note(now - ask.arrivedAt() > c.spec().latencyObjectiveMs());
                 if (ask.quota() != null && set.sharing().postPaid() && r.trueUnits() > 0) {
-                    charge(ask.quota(), r.trueUnits() - ask.units(), 0);
+                    ask.quota().charge(r.trueUnits() - ask.units());
                 }
             }
                 // No connection, and again none: down or full, the host takes nothing from us now.
@@ -1037,7 +621,7 @@
             double baseMs = c.latency().baseMs(ask.units());
             limit.noteResponse(r.latencyMs(), baseMs, c.spec().latencyObjectiveMs());
         }
-        if (ask.quota() != null) meter(now, ask, r.quotaUsedPercent());
+        if (ask.quota() != null) admission.meterReported(now, ask.quota(), ask, r.quotaUsedPercent());
     }
 
     private void watchHealth(double now) {
@@ -1053,17 +637,14 @@
         }
     }
 
-    /** From then on an idle customer's stores are as full as those of a new one: forgetting gives nothing. */
-    private static double forgetMs(Plan p) {
-        double quota = p.unitsPerSecond() > 0 ? p.burstUnits() / p.unitsPerSecond() : 0;
-        double ceiling = p.ceilingUnitsPerSecond() > 0 ? p.ceilingBurstUnits() / p.ceilingUnitsPerSecond() : 0;
-        return Math.max(FORGET_MS, FILLED * 1000 * Math.max(quota, ceiling));
+    private int gatewayCount() {
+        return Math.max(1, set.gatewayCount());
     }
 
     private void sweep(double now) {
         if (now - sweptAt < SWEEP_MS) return;
         sweptAt = now;
-        customers.values().removeIf(c -> now - c.touchedAt > forgetMs(c.plan) && c.open == 0 && c.pending.isEmpty());
+        quotas.forgetIdle(now, gossip::release);
         table.forgetUnlisted();
     }
 }
--- a/src/main/java/caperrudder/policy/QuotaEntry.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaEntry.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.gossip;
 
 /** What a {@link QuotaMessage} says of one customer. */
 public sealed interface QuotaEntry permits ReplicaReport, OwnerReply {
--- a/src/main/java/caperrudder/policy/ReplicaReport.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicaReport.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.gossip;
 
 import java.util.OptionalDouble;
 
--- a/src/main/java/caperrudder/policy/SerialArithmetic.java
+++ b/src/main/java/caperrudder/policy/gossip/SerialArithmetic.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.gossip;
 
 /** Comparison of counts and running totals whose fields on the wire wrap around (as in RFC 1982). */
 final class SerialArithmetic {
--- a/src/test/java/caperrudder/policy/PeerMessageGoldenTest.java
+++ b/src/test/java/caperrudder/policy/PeerMessageGoldenTest.java
@@ -6,6 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import caperrudder.policy.gossip.OwnerReply;
+import caperrudder.policy.gossip.QuotaEntry;
+import caperrudder.policy.gossip.QuotaMessage;
+import caperrudder.policy.gossip.QuotaMessageCodec;
+import caperrudder.policy.gossip.ReplicaReport;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.HexFormat;
--- a/src/test/java/caperrudder/policy/AdmissionOddsTest.java
+++ b/src/test/java/caperrudder/policy/quota/AdmissionOddsTest.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- /dev/null
+++ b/src/test/java/caperrudder/policy/quota/CeilingBucketTest.java
@@ -0,0 +1,59 @@
+package caperrudder.policy.quota;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import caperrudder.api.Plan;
+import org.junit.jupiter.api.Test;
+
+/** One gateway's share of a ceiling of 20 units per second with a burst of 40. */
+class CeilingBucketTest {
+    private static final double HALF = 0.5;
+    private static final Plan CAPPED = new Plan("capped", 100, 100, 0, 1, 0, 1, 20, 40, 4);
+    private static final Plan UNCAPPED = new Plan("uncapped", 100, 100, 0, 1, 0, 1, 0, 0, 0);
+
+    @Test
+    void atTheStartOfTheGatewayItIsEmpty() {
+        assertEquals(0, new CeilingBucket(CAPPED, HALF, 0).level());
+    }
+
+    @Test
+    void itBeginsWithWhatHasFilledSinceTheStartUpToItsShareOfTheBurst() {
+        assertEquals(10, new CeilingBucket(CAPPED, HALF, 1000).level());
+        assertEquals(20, new CeilingBucket(CAPPED, HALF, 60_000).level());
+    }
+
+    @Test
+    void unitsReservedButNotSentLeaveNoSpaceToRefill() {
+        CeilingBucket bucket = new CeilingBucket(CAPPED, HALF, 60_000);
+        bucket.reserve(15);
+        bucket.refill(60);
+        assertEquals(5, bucket.level());
+        bucket.sent(15);
+        bucket.refill(60);
+        assertEquals(20, bucket.level());
+    }
+
+    @Test
+    void ofARunningTotalOnlyWhatIsNewIsReceived() {
+        CeilingBucket bucket = new CeilingBucket(CAPPED, HALF, 0);
+        bucket.receive(7, 4);
+        assertEquals(3, bucket.level());
+    }
+
+    @Test
+    void unitsHandedOverAreGone() {
+        CeilingBucket bucket = new CeilingBucket(CAPPED, HALF, 1000);
+        bucket.handOver(4);
+        assertTrue(bucket.admits(6));
+        assertFalse(bucket.admits(7));
+    }
+
+    @Test
+    void withoutACeilingAnyUnitsAreAdmitted() {
+        CeilingBucket bucket = new CeilingBucket(UNCAPPED, HALF, 0);
+        assertFalse(bucket.isLimited());
+        assertTrue(bucket.admits(1e9));
+    }
+}
--- /dev/null
+++ b/src/test/java/caperrudder/policy/quota/ConcurrencyQuotaTest.java
@@ -0,0 +1,66 @@
+package caperrudder.policy.quota;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import caperrudder.api.Plan;
+import org.junit.jupiter.api.Test;
+
+/** A limit of two requests open at once, over a replica set of twenty gateways. */
+class ConcurrencyQuotaTest {
+    private static final Plan TWO_OPEN = new Plan("open", 0, 0, 2, 1, 0, 1, 0, 0, 0);
+    private static final int REPLICAS = 20;
+    private static final double EXPECTED_MS = 50;
+
+    private final ConcurrencyQuota metered = new ConcurrencyQuota(TWO_OPEN, REPLICAS, true);
+
+    @Test
+    void requestsOpenElsewhereCountTowardsTheLimit() {
+        ConcurrencyQuota quota = new ConcurrencyQuota(TWO_OPEN, REPLICAS, false);
+        quota.opened(0, EXPECTED_MS);
+        assertTrue(quota.fitsTotal());
+        quota.addOpenAtOthers(1);
+        assertFalse(quota.fitsTotal());
+        quota.closed();
+        assertTrue(quota.fitsTotal());
+    }
+
+    @Test
+    void aShareThatIsLessThanOneRequestAdmitsOne() {
+        assertTrue(metered.fitsShare(1.0 / REPLICAS));
+        metered.opened(0, EXPECTED_MS);
+        assertFalse(metered.fitsShare(1.0 / REPLICAS));
+    }
+
+    @Test
+    void whereTheMeterAloneTellsAdmissionsArePaced() {
+        metered.opened(0, EXPECTED_MS);
+        double pauseMs = REPLICAS * EXPECTED_MS / 2 / 4; // a quarter of the set in turn keeps both in use
+        assertFalse(metered.isNextDue(pauseMs - 1));
+        assertTrue(metered.isNextDue(pauseMs));
+    }
+
+    @Test
+    void wherePeersInformEachOtherAdmissionsAreNotPaced() {
+        ConcurrencyQuota quota = new ConcurrencyQuota(TWO_OPEN, REPLICAS, false);
+        quota.opened(0, EXPECTED_MS);
+        assertTrue(quota.isNextDue(0));
+    }
+
+    @Test
+    void ofAMeteredPeakTheOwnRequestsAreTakenOff() {
+        metered.opened(0, EXPECTED_MS);
+        metered.meteredPeak(0, 1.5);
+        assertEquals(2, metered.openAtOthers());
+    }
+
+    @Test
+    void aMeteredPeakHoldsForAWhile() {
+        metered.opened(0, EXPECTED_MS);
+        metered.meteredPeak(0, 1.5);
+        double validMs = 1.5 * REPLICAS * EXPECTED_MS / 2;
+        assertTrue(metered.isPeakValid(validMs - 1));
+        assertFalse(metered.isPeakValid(validMs));
+    }
+}
