--- /dev/null
+++ b/src/test/java/caperrudder/policy/retry/RetrySafetyTest.java
@@ -0,0 +1,54 @@
+package caperrudder.policy.retry;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import caperrudder.api.DeduplicationScope;
+import caperrudder.api.Idempotency;
+import caperrudder.api.RequestClass;
+import org.junit.jupiter.api.Test;
+
+/** Rule 2: what must not run twice is never sent twice. */
+class RetrySafetyTest {
+    private static final double CONNECT_TIMEOUT_MS = 250;
+    private static final double WINDOW_MS = 1000;
+    private static final double SENT_AT = 5000;
+
+    private final RetrySafety safety = new RetrySafety(CONNECT_TIMEOUT_MS);
+
+    private static RequestClass spec(Idempotency idempotency, DeduplicationScope scope) {
+        return new RequestClass("class", idempotency, scope, WINDOW_MS, 1000, 3000, 1, 0, false);
+    }
+
+    private boolean isRepeatable(Idempotency idempotency, double afterMs) {
+        return safety.isRepeatable(SENT_AT + afterMs, spec(idempotency, DeduplicationScope.ALL), SENT_AT);
+    }
+
+    @Test
+    void idempotentRequestIsAlwaysRepeatable() {
+        assertTrue(isRepeatable(Idempotency.IDEMPOTENT, 100_000));
+    }
+
+    @Test
+    void nonIdempotentRequestIsNeverRepeatable() {
+        assertFalse(isRepeatable(Idempotency.NOT_IDEMPOTENT, 0));
+    }
+
+    @Test
+    void requestWithIdempotencyKeyIsRepeatableWhereItArrivesWithinNineTenthsOfTheWindow() {
+        assertTrue(isRepeatable(Idempotency.IDEMPOTENCY_KEY, 649));
+        assertFalse(isRepeatable(Idempotency.IDEMPOTENCY_KEY, 650));
+    }
+
+    @Test
+    void clientMayRepeatWhereAnyHostDropsTheRepeat() {
+        for (DeduplicationScope scope : DeduplicationScope.values()) {
+            assertTrue(RetrySafety.isRepeatableByClient(spec(Idempotency.IDEMPOTENT, scope)));
+            assertFalse(RetrySafety.isRepeatableByClient(spec(Idempotency.NOT_IDEMPOTENT, scope)));
+            assertEquals(
+                    scope == DeduplicationScope.ALL,
+                    RetrySafety.isRepeatableByClient(spec(Idempotency.IDEMPOTENCY_KEY, scope)));
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/caperrudder/policy/scheduling/ConcurrencyLimitTest.java
@@ -0,0 +1,93 @@
+package caperrudder.policy.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** How the limit for each host moves, and how a gateway's slots follow from it. */
+class ConcurrencyLimitTest {
+    private static final double INTERVAL_MS = 250;
+    private static final double OBJECTIVE_MS = 1000;
+
+    private final ConcurrencyLimit limit = new ConcurrencyLimit(0, 1, List.of());
+
+    private void respond(int count, double latencyMs, double baseMs) {
+        for (int i = 0; i < count; i++) {
+            limit.noteResponse(latencyMs, baseMs, OBJECTIVE_MS);
+        }
+    }
+
+    @Test
+    void singleGatewayHasAllSlotsOfTheHosts() {
+        assertEquals(18, limit.slots(3));
+        assertEquals(6, limit.slots(0), "never less than one host's");
+    }
+
+    @Test
+    void gatewayOfManyHasItsEvenPartAndSomeForBursts() {
+        ConcurrencyLimit shared = new ConcurrencyLimit(0, 4, List.of());
+        assertEquals(18 / 4.0 + 0.7 * Math.sqrt(18 / 4.0) * 0.75, shared.slots(3), 1e-9);
+    }
+
+    @Test
+    void limitGrowsWhereRequestsWaitOnFastHosts() {
+        respond(8, 30, 30);
+        limit.noteSaturated();
+        limit.adapt(INTERVAL_MS);
+        assertEquals(6 * 1.15, limit.perHost(), 1e-9);
+    }
+
+    @Test
+    void limitStaysWhereNoRequestWaits() {
+        respond(8, 30, 30);
+        limit.adapt(INTERVAL_MS);
+        assertEquals(6, limit.perHost());
+    }
+
+    @Test
+    void limitShrinksToItsLeastWhileLatencyIsStretched() {
+        for (int interval = 1; interval <= 20; interval++) {
+            respond(8, 200, 100);
+            limit.noteSaturated();
+            limit.adapt(interval * INTERVAL_MS);
+        }
+        assertEquals(3, limit.perHost());
+    }
+
+    @Test
+    void limitShrinksWhereMostAttemptsTimeOut() {
+        respond(3, 30, 30);
+        for (int i = 0; i < 5; i++) {
+            limit.noteTimeout();
+        }
+        limit.adapt(INTERVAL_MS);
+        assertEquals(6 * 0.85, limit.perHost(), 1e-9);
+    }
+
+    @Test
+    void fewResponsesAreWaitedOn() {
+        respond(2, 200, 100);
+        limit.adapt(INTERVAL_MS);
+        assertEquals(6, limit.perHost());
+        limit.adapt(8 * INTERVAL_MS);
+        assertEquals(6 * 0.85, limit.perHost(), 1e-9);
+    }
+
+    @Test
+    void saturationIsToldOnce() {
+        limit.noteSaturated();
+        assertTrue(limit.takeSaturated());
+        assertFalse(limit.takeSaturated());
+    }
+
+    @Test
+    void restoredLimitIsHeldWithinItsBounds() {
+        limit.restore(1000);
+        assertEquals(128, limit.perHost());
+        limit.restore(0);
+        assertEquals(3, limit.perHost());
+    }
+}
