--- a/src/main/java/caperrudder/server/OpenRequest.java
+++ b/src/main/java/caperrudder/server/OpenRequest.java
@@ -37,7 +37,7 @@
 
     /** Whether the client's time runs: its last byte has come. */
     boolean isWhole() {
-        return body.isWhole();
+        return body.isComplete();
     }
 
     double deadlineMs() {
--- a/src/main/java/caperrudder/server/StartupWarmUp.java
+++ b/src/main/java/caperrudder/server/StartupWarmUp.java
@@ -12,7 +12,7 @@
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.config.GossipConfig;
 import caperrudder.server.discovery.EndpointList;
-import caperrudder.server.downstream.RequestParser;
+import caperrudder.server.http.RequestHeaders;
 import caperrudder.server.runtime.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -257,12 +257,12 @@
         List<Plan> plans = config.settings().plans();
         r.headers()
                 .set(HttpHeaderNames.HOST, "warm")
-                .set(RequestParser.ID, Integer.toString(n))
-                .set(RequestParser.PLAN, plans.get(customer % plans.size()).name())
-                .set(RequestParser.CUSTOMER, String.format("%016x", customer))
-                .set(RequestParser.EXPIRES, Integer.toString((int) cls.deadlineMs()))
-                .set(RequestParser.QUOTA, "units=1,spread=" + (1 + customer % 2) + ",first=0")
-                .set(RequestParser.KEY, Integer.toString(n))
+                .set(RequestHeaders.TRACE_ID, Integer.toString(n))
+                .set(RequestHeaders.PLAN, plans.get(customer % plans.size()).name())
+                .set(RequestHeaders.CUSTOMER, String.format("%016x", customer))
+                .set(RequestHeaders.EXPIRES_IN_MS, Integer.toString((int) cls.deadlineMs()))
+                .set(RequestHeaders.QUOTA, "units=1,spread=" + (1 + customer % 2) + ",first=0")
+                .set(RequestHeaders.IDEMPOTENCY_KEY, Integer.toString(n))
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, r.content().readableBytes());
         return r;
     }
--- a/src/main/java/caperrudder/server/downstream/DownstreamServer.java
+++ b/src/main/java/caperrudder/server/downstream/DownstreamServer.java
@@ -4,7 +4,9 @@
 import caperrudder.server.GatewayServer;
 import caperrudder.server.OpenRequest;
 import caperrudder.server.admin.RequestCounters;
+import caperrudder.server.http.HeaderValues;
 import caperrudder.server.http.RequestBody;
+import caperrudder.server.http.RequestHeaders;
 import caperrudder.server.runtime.FatalErrorHandler;
 import caperrudder.server.runtime.Transport;
 import caperrudder.server.upstream.UpstreamAttempt;
@@ -39,7 +41,6 @@
 
 /** Accepts clients and writes the one answer to each request; decides which connections stay open. */
 public final class DownstreamServer {
-    public static final int MAX_BODY = 40 << 20; // of a request or an answer; those that occur reach 32 MB
     private static final int PIPELINED = 16; // requests read ahead on one connection; then reading stops
     private static final double PRESSED_SHARE = 0.5; // of the connections that fit: then idle ones give way early
     private static final long SWEEP_MS = 100;
@@ -383,7 +384,7 @@
 
         /** The last byte of a body has come. */
         private void bodyCame() {
-            if (upload == null || !upload.isWhole()) {
+            if (upload == null || !upload.isComplete()) {
                 return; // its request still waits its turn
             }
             upload = null;
@@ -415,7 +416,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             boolean broken = message instanceof RequestReader.Unreadable
                     && upload != null
-                    && !upload.isComplete(); // its end can't be found
+                    && !upload.isReceived(); // its end can't be found
             if (broken && source != null) { // and its answer is on its way
                 breakOff();
             } else if (broken && !busy) { // and its answer is given
@@ -430,7 +431,7 @@
             }
             if (message instanceof RequestReader.Unreadable
                     && waiting.peekLast() instanceof RequestReader.Arriving last
-                    && !last.body().isComplete()) {
+                    && !last.body().isReceived()) {
                 drop(waiting.pollLast()); // its end will not come
             }
             waiting.add(message);
@@ -483,11 +484,11 @@
                     answer(unreadable.status(), 0);
                 } else if (message instanceof RequestReader.Arriving a) {
 
-                    upload = a.body().isWhole() ? null : a.body();
+                    upload = a.body().isComplete() ? null : a.body();
                     regulate();
                     handle(a.head(), a.body());
                 } else {
-                    handle((HttpRequest) message, RequestBody.held(((FullHttpRequest) message).content()));
+                    handle((HttpRequest) message, RequestBody.buffered(((FullHttpRequest) message).content()));
                 }
             }
         }
@@ -503,7 +504,7 @@
             double now = node.clock.now();
             Request read = terms.read(request, body, now, now - node.lag.ms());
             if (read == null || node.knows(read.id())) {
-                boolean unknown = !request.headers().contains(RequestParser.ID);
+                boolean unknown = !request.headers().contains(RequestHeaders.TRACE_ID);
                 body.discard();
                 fault();
                 answer(unknown ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
@@ -555,7 +556,7 @@
 
         private void copyType(HttpResponse from, HttpResponse to) {
             String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
-            if (type != null && RequestParser.isWithin(type, ' ', '~')) { // else not to be passed on
+            if (type != null && HeaderValues.isWithin(type, ' ', '~')) { // else not to be passed on
                 to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
             }
         }
--- a/src/main/java/caperrudder/server/downstream/RequestParser.java
+++ b/src/main/java/caperrudder/server/downstream/RequestParser.java
@@ -5,14 +5,14 @@
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
+import caperrudder.server.http.HeaderValues;
 import caperrudder.server.http.RequestBody;
+import caperrudder.server.http.RequestHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.util.AsciiString;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 
 /**
@@ -20,24 +20,11 @@
  * with it: units, sets and times that cannot be would spoil the books of a customer who never sent them.
  */
 public final class RequestParser {
-    public static final AsciiString ID = AsciiString.cached("X-Trace-Id");
-    public static final AsciiString PLAN = AsciiString.cached("X-Plan");
-    public static final AsciiString CUSTOMER = AsciiString.cached("X-Customer");
-    public static final AsciiString EXPIRES = AsciiString.cached("X-Expires-In-Ms");
-    public static final AsciiString QUOTA = AsciiString.cached("X-Quota");
-    static final AsciiString RETRY = AsciiString.cached("X-Second-Try");
-    public static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
-    /** Of these a request says one thing or nothing. */
-    static final List<AsciiString> SINGLE =
-            List.of(HttpHeaderNames.HOST, ID, PLAN, CUSTOMER, EXPIRES, QUOTA, RETRY, KEY);
-
     private static final double MARGIN_MS = 20; // the answer must reach the client within its time
     private static final int HEX = 16;
     private static final int CUSTOMER_DIGITS = 16;
     private static final long CUSTOMER_END = 1L << 33;
     private static final int TEXT_MAX = 64; // characters of an id or a key
-    private static final int DIGITS_MAX = 9; // of a plain number: it fits an int
-    private static final double ABSENT = -1;
 
     private final Settings settings;
     private final Map<String, RequestClass> classes = new HashMap<>();
@@ -56,10 +43,10 @@
     Request read(HttpRequest message, RequestBody body, double now, double arrived) {
         HttpHeaders h = message.headers();
         RequestClass cls = classes.get(firstPart(message.uri()));
-        String plan = h.get(PLAN);
-        String id = h.get(ID);
-        long customer = customer(h.get(CUSTOMER));
-        double left = plain(h.get(EXPIRES), false);
+        String plan = h.get(RequestHeaders.PLAN);
+        String id = h.get(RequestHeaders.TRACE_ID);
+        long customer = customer(h.get(RequestHeaders.CUSTOMER));
+        double left = HeaderValues.parseNumber(h.get(RequestHeaders.EXPIRES_IN_MS), false);
         if (cls == null
                 || !plans.containsKey(plan)
                 || !isName(id)
@@ -68,7 +55,7 @@
                 || !fits(cls, message, body)) {
             return null;
         }
-        String quota = h.get(QUOTA);
+        String quota = h.get(RequestHeaders.QUOTA);
         double units = field(quota, "units", true);
         double spread = field(quota, "spread", false);
         double first = field(quota, "first", false);
@@ -88,14 +75,14 @@
                         id,
                         Math.max(now + 1, arrived + waits - MARGIN_MS),
                         arrived,
-                        h.contains(RETRY),
+                        h.contains(RequestHeaders.CLIENT_RETRY),
                         cls.name(),
                         customer,
                         plan,
                         units,
                         (int) first,
                         (int) spread,
-                        !body.isWhole());
+                        !body.isComplete());
     }
 
     /** The method and the key of the class; what is safe to repeat has no body, and none may be sent on with it. */
@@ -107,21 +94,11 @@
         }
         return message.method().equals(HttpMethod.POST)
                 && (cls.idempotency() != Idempotency.IDEMPOTENCY_KEY
-                        || isName(message.headers().get(KEY)));
+                        || isName(message.headers().get(RequestHeaders.IDEMPOTENCY_KEY)));
     }
 
     private static boolean isName(String text) {
-        return text != null && !text.isEmpty() && text.length() <= TEXT_MAX && isWithin(text, '!', '~');
-    }
-
-    /** Whether all characters lie in a range; a plain loop, since it runs several times for each request. */
-    public static boolean isWithin(String text, char from, char to) {
-        for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) < from || text.charAt(i) > to) {
-                return false;
-            }
-        }
-        return true;
+        return text != null && !text.isEmpty() && text.length() <= TEXT_MAX && HeaderValues.isWithin(text, '!', '~');
     }
 
     private static long customer(String text) {
@@ -141,36 +118,22 @@
 
     /** The value of a field that the list names once; others may stand beside it, as a later version may say more. */
     private static double field(String list, String name, boolean fraction) {
-        double value = ABSENT;
+        double value = HeaderValues.ABSENT;
         for (String part : list == null ? new String[0] : list.split(",", -1)) {
             int equals = part.indexOf('=');
             if (equals >= 0 && part.substring(0, equals).trim().equals(name)) {
-                if (value != ABSENT) {
-                    return ABSENT;
+                if (value != HeaderValues.ABSENT) {
+                    return HeaderValues.ABSENT;
                 }
-                value = plain(part.substring(equals + 1).trim(), fraction);
+                value = HeaderValues.parseNumber(part.substring(equals + 1).trim(), fraction);
                 if (value < 0) {
-                    return ABSENT;
+                    return HeaderValues.ABSENT;
                 }
             }
         }
         return value;
     }
 
-    /** Digits, and where allowed a point between them: no sign, exponent, blank, NaN or infinity. */
-    public static double plain(String text, boolean fraction) {
-        int point = -1;
-        for (int i = 0; text != null && i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c == '.' && fraction && point < 0 && i > 0 && i < text.length() - 1) {
-                point = i;
-            } else if (c < '0' || c > '9') {
-                return ABSENT;
-            }
-        }
-        return text == null || text.isEmpty() || text.length() > DIGITS_MAX ? ABSENT : Double.parseDouble(text);
-    }
-
     private static String firstPart(String uri) {
         int end = 1;
         while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
--- a/src/main/java/caperrudder/server/downstream/RequestReader.java
+++ b/src/main/java/caperrudder/server/downstream/RequestReader.java
@@ -1,11 +1,12 @@
 package caperrudder.server.downstream;
 
+import caperrudder.server.http.MessageBodies;
 import caperrudder.server.http.RequestBody;
+import caperrudder.server.http.RequestHeaders;
 import caperrudder.server.http.StrictHeaders;
 import caperrudder.server.runtime.Clock;
 import caperrudder.server.runtime.StreamBufferBudget;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -32,7 +33,7 @@
  * where a further request would begin is not known. It answers nothing itself, since answers have their order.
  */
 public final class RequestReader extends ChannelInboundHandlerAdapter {
-    private static final HttpHeadersFactory HEADERS = StrictHeaders.ofRequests(RequestParser.SINGLE);
+    private static final HttpHeadersFactory HEADERS = StrictHeaders.ofRequests(RequestHeaders.SINGLE_VALUED);
     private static final double NONE = -1;
     private static final double HEAD_MS = 2600; // for a head, from its first byte: true clients take up to 2 s
     private static final double BODY_GRACE_MS = 1500; // without a byte of a body, and ahead of its slowest pace
@@ -171,7 +172,7 @@
                         && !HttpUtil.isTransferEncodingChunked(request);
         if (!known) {
             refuse(ctx, HttpResponseStatus.BAD_REQUEST);
-        } else if (HttpUtil.getContentLength(request, 0L) > DownstreamServer.MAX_BODY) {
+        } else if (HttpUtil.getContentLength(request, 0L) > MessageBodies.MAX_BYTES) {
             refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE); // before any of it is read
         } else if (HttpUtil.is100ContinueExpected(request)) {
             ctx.fireUserEventTriggered(Asks.TO_GO_ON);
@@ -182,7 +183,7 @@
     }
 
     private void passOn(ChannelHandlerContext ctx) {
-        arriving = RequestBody.arriving(budget.window(), room);
+        arriving = RequestBody.streamed(budget.window(), room);
         if (body.isReadable()) {
             arriving.add(body);
             body = Unpooled.EMPTY_BUFFER;
@@ -201,7 +202,7 @@
             pass(ctx, content);
             return;
         }
-        body = joined(ctx, body, content.content());
+        body = MessageBodies.join(ctx, body, content.content());
         if (content instanceof LastHttpContent) {
             DefaultFullHttpRequest whole = new DefaultFullHttpRequest(
                     head.protocolVersion(), head.method(), head.uri(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
@@ -214,7 +215,7 @@
 
     private void pass(ChannelHandlerContext ctx, HttpContent content) {
         bodyTotal += content.content().readableBytes();
-        if (bodyTotal > DownstreamServer.MAX_BODY) { // of a body that did not tell its length
+        if (bodyTotal > MessageBodies.MAX_BYTES) { // of a body that did not tell its length
             refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
@@ -225,7 +226,7 @@
             head = null;
             bodyTotal = 0;
             since = decoder.leftOver() ? clock.now() : NONE;
-            come.hasCome();
+            come.lastPartReceived();
             ctx.executor().execute(() -> end(ctx, come, part));
             return;
         }
@@ -247,21 +248,6 @@
         }
     }
 
-    /** Parts of a body one behind the other, without a copy; the first is taken over, the second retained. */
-    public static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf body, ByteBuf part) {
-        if (!part.isReadable()) {
-            return body;
-        }
-        if (!body.isReadable()) {
-            body.release();
-            return part.retain();
-        }
-        CompositeByteBuf all = body instanceof CompositeByteBuf compositeByteBuf
-                ? compositeByteBuf
-                : ctx.alloc().compositeBuffer().addComponent(true, body);
-        return all.addComponent(true, part.retain());
-    }
-
     /** More was sent ahead than is kept: refused, as it may be asked again. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
--- a/src/main/java/caperrudder/server/http/RequestBody.java
+++ b/src/main/java/caperrudder/server/http/RequestBody.java
@@ -4,56 +4,64 @@
 import java.util.ArrayDeque;
 
 /**
- * A request's body: held whole, so that each attempt can send it, or on its way, when what a host has taken is gone.
- * Of the latter it holds no more than a window: who fills it asks whether it is {@code full}. On the event loop only.
+ * A request's body: buffered whole, so that each attempt can send it, or streamed, when what a host has taken is gone
+ * and can't be replayed. Of a streamed body no more than a window is held: whoever fills it stops reading its client
+ * while {@link #isFull}. On the event loop only.
  */
 public final class RequestBody {
-    /** Who sends the body on; told when there is more of it, or its end. */
+    /** Sends the body on; called when there is more of it, or its end. */
     public interface Sink {
         void more();
     }
 
-    private final ByteBuf held; // null where the body is on its way
-    private final int window;
-    private final Runnable room;
+    private final ByteBuf buffered; // null where the body is streamed
+    private final int windowBytes;
+    private final Runnable onRoom;
     private final ArrayDeque<ByteBuf> parts = new ArrayDeque<>();
-    private int bytes;
-    private boolean come;
-    private boolean whole;
+    private int heldBytes;
+    private boolean lastPartReceived;
+    private boolean complete;
     private boolean discarded;
     private Sink sink;
 
-    private RequestBody(ByteBuf held, int window, Runnable room) {
-        this.held = held;
-        this.whole = held != null;
-        this.window = window;
-        this.room = room;
+    private RequestBody(ByteBuf buffered, int windowBytes, Runnable onRoom) {
+        this.buffered = buffered;
+        this.complete = buffered != null;
+        this.windowBytes = windowBytes;
+        this.onRoom = onRoom;
     }
 
-    public static RequestBody held(ByteBuf body) {
+    /** A body that has come whole; the buffer is taken over. */
+    public static RequestBody buffered(ByteBuf body) {
         return new RequestBody(body, 0, () -> {});
     }
 
-    /** {@code room} is run when a body that was full no longer is. */
-    public static RequestBody arriving(int window, Runnable room) {
-        return new RequestBody(null, window, room);
+    /**
+     * A body of which there is more to come.
+     *
+     * @param windowBytes from so many bytes held on, the body is full
+     * @param onRoom run when a body that was full no longer is
+     */
+    public static RequestBody streamed(int windowBytes, Runnable onRoom) {
+        return new RequestBody(null, windowBytes, onRoom);
     }
 
-    public boolean isHeld() {
-        return held != null;
+    /** Whether it came whole, so that every attempt can send it. */
+    public boolean isBuffered() {
+        return buffered != null;
     }
 
     /** Whether it is known that there is none. */
     public boolean isEmpty() {
-        return held != null && !held.isReadable();
+        return buffered != null && !buffered.isReadable();
     }
 
-    /** For one attempt, of a body that is held. */
+    /** For one attempt, of a body that is buffered; the caller releases it. */
     public ByteBuf copy() {
-        return held.retainedDuplicate();
+        return buffered.retainedDuplicate();
     }
 
-    // ---- a body on its way
+    // ---- a streamed body
 
     /** Takes the part over. */
     public void add(ByteBuf part) {
@@ -62,54 +70,56 @@
             return;
         }
         parts.addLast(part);
-        bytes += part.readableBytes();
-        tell();
+        heldBytes += part.readableBytes();
+        notifySink();
     }
 
-    /** Its last part has come, and follows once it is known that the client has not left. */
-    public void hasCome() {
-        come = true;
+    /** Its last part has been received, and is added once it is known that the client has not left. */
+    public void lastPartReceived() {
+        lastPartReceived = true;
     }
 
-    /** Whether nothing more has to come of it. */
-    public boolean isComplete() {
-        return come || whole;
+    /** Whether nothing more has to come from the client, although the last part may still have to be added. */
+    public boolean isReceived() {
+        return lastPartReceived || complete;
     }
 
+    /** All of it has been added. */
     public void end() {
-        whole = true;
-        tell();
+        complete = true;
+        notifySink();
     }
 
-    private void tell() {
+    private void notifySink() {
         if (sink != null) {
             sink.more();
         }
     }
 
-    /** All of it has come. */
-    public boolean isWhole() {
-        return whole;
+    /** Whether all of it has come. */
+    public boolean isComplete() {
+        return complete;
     }
 
+    /** Whether its client is not to be read further for now. */
     public boolean isFull() {
-        return bytes >= window && !discarded && held == null;
+        return heldBytes >= windowBytes && !discarded && buffered == null;
     }
 
     /** From now on this one sends it; nobody where null. */
-    public void to(Sink next) {
+    public void setSink(Sink next) {
         sink = next;
-        tell();
+        notifySink();
     }
 
-    /** The next part, which the caller owns, or null where none has come. */
-    public ByteBuf next() {
+    /** The next part, which the caller owns, or null where none is held. */
+    public ByteBuf poll() {
         ByteBuf part = parts.pollFirst();
         if (part != null) {
             boolean wasFull = isFull();
-            bytes -= part.readableBytes();
+            heldBytes -= part.readableBytes();
             if (wasFull && !isFull()) {
-                room.run();
+                onRoom.run();
             }
         }
         return part;
@@ -117,7 +127,7 @@
 
     /** Whether all has come and been taken. */
     public boolean isDrained() {
-        return whole && parts.isEmpty();
+        return complete && parts.isEmpty();
     }
 
     /** Nobody wants it any more: what still comes is read away. */
@@ -130,12 +140,12 @@
         sink = null;
         parts.forEach(ByteBuf::release);
         parts.clear();
-        bytes = 0;
-        if (held != null) {
-            held.release();
+        heldBytes = 0;
+        if (buffered != null) {
+            buffered.release();
         }
         if (wasFull) {
-            room.run();
+            onRoom.run();
         }
     }
 }
--- a/src/main/java/caperrudder/server/http/StrictHeaders.java
+++ b/src/main/java/caperrudder/server/http/StrictHeaders.java
@@ -1,6 +1,5 @@
 package caperrudder.server.http;
 
-import caperrudder.server.downstream.RequestParser;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -12,34 +11,34 @@
 
 /**
  * Header lines of a message as they are read. A line that leaves open where the message ends, or which of two values
- * holds, makes the message unreadable: the decoder would otherwise choose one and drop the other, and a receiver that
- * chooses differently finds a second message inside the first.
+ * holds, makes the message malformed: the decoder would otherwise choose one and drop the other, and a receiver that
+ * chooses differently finds a second message inside the first (request smuggling).
  */
 public final class StrictHeaders extends DefaultHttpHeaders {
-    private static final int LENGTH_DIGITS = 10; // of a length; far more than any message here may have
+    private static final int CONTENT_LENGTH_DIGITS_MAX = 10; // far more than any message here may have
 
-    private final List<AsciiString> single;
+    private final List<AsciiString> singleValued;
 
-    private StrictHeaders(DefaultHttpHeadersFactory values, List<AsciiString> single) {
-        super(DefaultHttpHeadersFactory.headersFactory().getNameValidator(), values.getValueValidator());
-        this.single = single;
+    private StrictHeaders(DefaultHttpHeadersFactory validators, List<AsciiString> singleValued) {
+        super(DefaultHttpHeadersFactory.headersFactory().getNameValidator(), validators.getValueValidator());
+        this.singleValued = singleValued;
     }
 
-    /** Of requests: each of these headers may stand once, and what no header may hold is not let in. */
-    public static HttpHeadersFactory ofRequests(List<AsciiString> single) {
-        return factory(DefaultHttpHeadersFactory.headersFactory().withValidation(true), single);
+    /** Of requests: each of these headers may stand once, and characters that no header may hold are rejected. */
+    public static HttpHeadersFactory ofRequests(List<AsciiString> singleValued) {
+        return factory(DefaultHttpHeadersFactory.headersFactory().withValidation(true), singleValued);
     }
 
-    /** Of answers: a line that serves only its reader, such as a load report, may hold what it likes. */
-    public static HttpHeadersFactory ofAnswers() {
+    /** Of responses: a line that serves only its reader, such as a load report, may hold what it likes. */
+    public static HttpHeadersFactory ofResponses() {
         return factory(DefaultHttpHeadersFactory.headersFactory().withValidation(false), List.of());
     }
 
-    private static HttpHeadersFactory factory(DefaultHttpHeadersFactory values, List<AsciiString> single) {
+    private static HttpHeadersFactory factory(DefaultHttpHeadersFactory validators, List<AsciiString> singleValued) {
         return new HttpHeadersFactory() {
             @Override
             public HttpHeaders newHeaders() {
-                return new StrictHeaders(values, single);
+                return new StrictHeaders(validators, singleValued);
             }
 
             @Override
@@ -49,35 +48,41 @@
         };
     }
 
+    /**
+     * Adds a line.
+     *
+     * @throws IllegalArgumentException where the line is ambiguous or malformed; the decoder takes the message for
+     *     malformed then
+     */
     @Override
     public HttpHeaders add(CharSequence name, Object value) {
         if (HttpHeaderNames.CONTENT_LENGTH.contentEqualsIgnoreCase(name)) {
-            check(isLength(value.toString()) && !bounded(), name);
+            check(isLength(value.toString()) && !isFramed(), name);
         } else if (HttpHeaderNames.TRANSFER_ENCODING.contentEqualsIgnoreCase(name)) {
-            check(HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(value.toString()) && !bounded(), name);
+            check(HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(value.toString()) && !isFramed(), name);
         } else {
-            for (AsciiString known : single) {
-                check(!known.contentEqualsIgnoreCase(name) || !contains(known), name);
+            for (AsciiString single : singleValued) {
+                check(!single.contentEqualsIgnoreCase(name) || !contains(single), name);
             }
         }
         return super.add(name, value);
     }
 
-    private boolean bounded() {
+    private boolean isFramed() {
         return contains(HttpHeaderNames.CONTENT_LENGTH) || contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    private static void check(boolean right, CharSequence name) {
-        if (!right) {
+    private static void check(boolean valid, CharSequence name) {
+        if (!valid) {
             throw new IllegalArgumentException("ambiguous or malformed " + name);
         }
     }
 
-    /** Digits alone, and no nought ahead of them: not all receivers read the rest alike. */
+    /** Digits alone, and no leading zero: not all receivers read the rest alike. */
     private static boolean isLength(String text) {
         return !text.isEmpty()
-                && text.length() <= LENGTH_DIGITS
-                && RequestParser.isWithin(text, '0', '9')
+                && text.length() <= CONTENT_LENGTH_DIGITS_MAX
+                && HeaderValues.isWithin(text, '0', '9')
                 && (text.length() == 1 || text.charAt(0) != '0');
     }
 }
--- a/src/main/java/caperrudder/server/upstream/UpstreamAttempt.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamAttempt.java
@@ -51,7 +51,7 @@
     @Override
     void written() {
         node.tally().sent();
-        if (!owner.body.isHeld()) {
+        if (!owner.body.isBuffered()) {
             sentAt = node.clock.now();
         }
     }
--- a/src/main/java/caperrudder/server/upstream/UpstreamClient.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamClient.java
@@ -5,8 +5,9 @@
 import caperrudder.api.Outcome;
 import caperrudder.server.GatewayServer;
 import caperrudder.server.discovery.EndpointList;
-import caperrudder.server.downstream.RequestParser;
+import caperrudder.server.http.HeaderValues;
 import caperrudder.server.http.RequestBody;
+import caperrudder.server.http.RequestHeaders;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -189,7 +190,7 @@
     private void write(UpstreamAttempt a, UpstreamConnection c) {
         HttpRequest from = a.owner.head;
         RequestBody body = a.owner.body;
-        if (body.isHeld()) {
+        if (body.isBuffered()) {
             ByteBuf content = body.copy();
             FullHttpRequest to = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(), content);
             setHeaders(a, from, to);
@@ -213,11 +214,11 @@
     private void setHeaders(UpstreamAttempt a, HttpRequest from, HttpRequest to) {
         HttpHeaders h = to.headers();
         h.set(HttpHeaderNames.HOST, HOST);
-        h.set(RequestParser.ID, a.owner.request.id());
-        h.set(RequestParser.EXPIRES, Long.toString((long) a.owner.leftMs(node.clock.now())));
-        String key = from.headers().get(RequestParser.KEY);
+        h.set(RequestHeaders.TRACE_ID, a.owner.request.id());
+        h.set(RequestHeaders.EXPIRES_IN_MS, Long.toString((long) a.owner.leftMs(node.clock.now())));
+        String key = from.headers().get(RequestHeaders.IDEMPOTENCY_KEY);
         if (key != null) {
-            h.set(RequestParser.KEY, key);
+            h.set(RequestHeaders.IDEMPOTENCY_KEY, key);
         }
         String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
@@ -326,7 +327,7 @@
 
     /** The customer's metered use as the module is told it, 1 + percent; 0 where the answer tells none. */
     public static int used(HttpResponse response) {
-        double percent = RequestParser.plain(response.headers().get(QUOTA_USED), false);
+        double percent = HeaderValues.parseNumber(response.headers().get(QUOTA_USED), false);
         return percent < 0 ? 0 : 1 + (int) percent;
     }
 
--- a/src/main/java/caperrudder/server/upstream/UpstreamConnection.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamConnection.java
@@ -1,8 +1,7 @@
 package caperrudder.server.upstream;
 
 import caperrudder.api.Outcome;
-import caperrudder.server.downstream.DownstreamServer;
-import caperrudder.server.downstream.RequestReader;
+import caperrudder.server.http.MessageBodies;
 import caperrudder.server.http.RequestBody;
 import caperrudder.server.http.StrictHeaders;
 import caperrudder.server.runtime.Clock;
@@ -141,7 +140,7 @@
     /** Reads answers; their lines may hold anything but what leaves their length open. */
     private final class Decoder extends HttpResponseDecoder {
         Decoder() {
-            super(new HttpDecoderConfig().setHeadersFactory(StrictHeaders.ofAnswers()));
+            super(new HttpDecoderConfig().setHeadersFactory(StrictHeaders.ofResponses()));
         }
 
         @Override
@@ -211,7 +210,7 @@
         left = false;
         upload = body;
         channel.write(message, channel.voidPromise());
-        body.to(this::pump);
+        body.setSink(this::pump);
     }
 
     private void begin(Exchange x) {
@@ -240,8 +239,8 @@
             return;
         }
         pumping = true; // taking a part lets more come, perhaps at once
-        ByteBuf part = channel.isWritable() ? upload.next() : null;
-        for (; part != null; part = channel.isWritable() ? upload.next() : null) {
+        ByteBuf part = channel.isWritable() ? upload.poll() : null;
+        for (; part != null; part = channel.isWritable() ? upload.poll() : null) {
             if (!left && exchange != null) {
                 exchange.bodyLeft();
             }
@@ -259,7 +258,7 @@
 
     private void stopUpload() {
         if (upload != null) {
-            upload.to(null);
+            upload.setSink(null);
             upload = null;
         }
     }
@@ -327,7 +326,7 @@
         head = response;
         boolean ahead = isInterim();
         long length = HttpUtil.getContentLength(response, -1L);
-        if (length > DownstreamServer.MAX_BODY
+        if (length > MessageBodies.MAX_BYTES
                 || ahead && ++interim > INTERIM_MAX
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
             spoilt();
@@ -386,13 +385,13 @@
         }
         if (passing) {
             passedBytes += content.content().readableBytes();
-            if (passedBytes > DownstreamServer.MAX_BODY) { // of an answer that did not tell its length
+            if (passedBytes > MessageBodies.MAX_BYTES) { // of an answer that did not tell its length
                 spoilt();
                 return;
             }
             pass(content.content().retain());
         } else {
-            body = RequestReader.joined(ctx, body, content.content());
+            body = MessageBodies.join(ctx, body, content.content());
         }
         if (!(content instanceof LastHttpContent)) {
             return;
--- a/src/test/java/caperrudder/server/ClientReadingTest.java
+++ b/src/test/java/caperrudder/server/ClientReadingTest.java
@@ -15,7 +15,7 @@
 import caperrudder.server.Sockets.Message;
 import caperrudder.server.Sockets.Registry;
 import caperrudder.server.Sockets.Server;
-import caperrudder.server.downstream.DownstreamServer;
+import caperrudder.server.http.MessageBodies;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -178,7 +178,7 @@
         Server host = host((m, s) -> s.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
         Client c = client(nodeBefore(host)).send(ORDER + "Transfer-Encoding: chunked\r\n\r\n");
         String chunk = "40000\r\n" + "x".repeat(0x40000) + "\r\n";
-        for (int sent = 0; sent <= DownstreamServer.MAX_BODY; sent += 0x40000) {
+        for (int sent = 0; sent <= MessageBodies.MAX_BYTES; sent += 0x40000) {
             c.send(chunk);
         }
         assertEquals(413, c.receive().status());
