--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -1,13 +1,10 @@
 package caperrudder.server;
 
-import caperrudder.api.AttemptResult;
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
-import caperrudder.api.Outcome;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
-import caperrudder.api.Request;
 import caperrudder.api.Settings;
 import caperrudder.api.Snapshot;
 import caperrudder.policy.TrafficPolicy;
@@ -23,33 +20,27 @@
 import caperrudder.server.discovery.EndpointListener;
 import caperrudder.server.discovery.KnownEndpoints;
 import caperrudder.server.downstream.DownstreamServer;
+import caperrudder.server.downstream.DrainStatus;
 import caperrudder.server.handover.ProcessHandover;
 import caperrudder.server.handover.SnapshotExchange;
-import caperrudder.server.http.RequestBody;
 import caperrudder.server.runtime.Clock;
 import caperrudder.server.runtime.DescriptorBudget;
+import caperrudder.server.runtime.EventLoopContext;
 import caperrudder.server.runtime.EventLoopLag;
 import caperrudder.server.runtime.FatalErrorHandler;
 import caperrudder.server.runtime.LibraryLog;
 import caperrudder.server.runtime.Log;
 import caperrudder.server.runtime.StreamBufferBudget;
 import caperrudder.server.runtime.Transport;
-import caperrudder.server.upstream.UpstreamAttempt;
+import caperrudder.server.upstream.HealthChecker;
+import caperrudder.server.upstream.LoadReportParser;
 import caperrudder.server.upstream.UpstreamClient;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import java.io.IOException;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
@@ -57,62 +48,45 @@
 import java.util.function.Function;
 
 /**
- * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
- * table of open requests. It carries out what the module decides and tells it what came of it.
+ * One api gateway: wires its parts together on the event loop on which everything runs, starts it and ends it. What
+ * becomes of requests is the {@link RequestDispatcher}'s.
  */
-public final class GatewayServer implements PolicyActions, SnapshotExchange, EndpointListener {
+public final class GatewayServer implements SnapshotExchange, EndpointListener, DrainStatus {
     private static final Log LOG = Log.of("gateway");
     private static final long EXIT_MS = 3400; // after SIGTERM: the last bytes have had their time
     private static final long FIRST_LIST_MS = 500; // an agent nearby that serves has answered by then
     private static final long POLL_MS = 20; // how often a drain looks whether all is answered
     private static final long METRICS_PERIOD_MS = 100; // how often the figures of the second address are renewed
-    private static final double MICROS_PER_MS = 1000;
-    private static final double[] NO_REPORT = new double[0];
-
-    /** Something that the module is to be told. */
-    private interface Event {
-        void tell(double now, PolicyEvents module);
-    }
-
-    /** The way to the other gateways. */
-    interface Mail {
-        void send(int peer, byte[] data);
-    }
 
     public final GatewayConfig config;
     public final Clock clock = new Clock();
-    public final Transport transport;
     public final NioEventLoopGroup group;
     public final EventLoop loop;
-    public final EventLoopLag lag;
-    public final StreamBufferBudget budget;
+    final EventLoopLag lag;
     private final DescriptorBudget alone;
     private final DescriptorBudget shared;
-    private final PolicyEvents module;
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private final Map<String, OpenRequest> open = new HashMap<>();
+    private final PolicyEventQueue policy;
+    private final RequestDispatcher dispatcher;
     private final DownstreamServer clients;
     private final UpstreamClient hosts;
     private final DiscoveryClient discovery;
     private final PeerTransport peers;
-    private Mail mail;
-    private Optional<EndpointList> known; // by the configuration, until the module has been told
+    private PeerSender peerSender;
+    private Optional<EndpointList> known; // by the configuration, until the policy has been notified
     private final CountDownLatch drained = new CountDownLatch(1);
-    private final RequestCounters tally;
+    private final RequestCounters counters;
     private volatile MetricsSnapshot metrics;
     private volatile boolean listening;
-    private boolean telling;
-    private boolean serving; // before, what peers say is for the ears of a module that has not begun
+    private boolean serving; // before, what peers say is for the ears of a policy that has not begun
     private boolean beside; // another process of this gateway runs, within the same limits
     private boolean ending; // in a drain that leaves nobody at this address
     private boolean closing; // in a drain: all connections end with their next answer
-    private boolean over; // the drain's time is up: nothing more is sent
 
     public GatewayServer(GatewayConfig config, Optional<EndpointList> known) {
         this(config, known, TrafficPolicy::new);
     }
 
-    /** With a module of the caller's making. */
+    /** With a policy of the caller's making. */
     public GatewayServer(
             GatewayConfig config, Optional<EndpointList> known, Function<PolicyActions, PolicyEvents> maker) {
         this(config, known, maker, Transport.TCP, new NioEventLoopGroup(1));
@@ -126,21 +100,51 @@
             NioEventLoopGroup group) {
         this.config = config;
         this.known = known;
-        this.transport = transport;
         this.group = group;
         this.loop = group.next();
         this.lag = new EventLoopLag(clock, loop);
-        this.budget = new StreamBufferBudget(config.limits().memoryMb());
         this.alone = DescriptorBudget.exclusive(config.limits().sockets());
         this.shared = DescriptorBudget.shared(config.limits().sockets());
-        this.module = maker.apply(this);
-        this.tally = new RequestCounters(config.settings().classes());
-        this.metrics = new MetricsSnapshot(tally.classes(), 0, 0, new ClusterHealth(0, 0));
-        this.clients = new DownstreamServer(this);
-        this.hosts = new UpstreamClient(this);
+        this.counters = new RequestCounters(config.settings().classes());
+        this.metrics = new MetricsSnapshot(counters.classes(), 0, 0, new ClusterHealth(0, 0));
+        EventLoopContext eventLoop = new EventLoopContext(
+                clock,
+                transport,
+                group,
+                loop,
+                lag,
+                new StreamBufferBudget(config.limits().memoryMb()));
+        LoadReportParser loadReports = new LoadReportParser(config.settings().loadReportFields());
+        this.policy = new PolicyEventQueue(clock);
+        this.hosts = new UpstreamClient(
+                eventLoop, config.limits().connectTimeoutMs(), config.limits().idleConnectionMs(), () -> descriptors()
+                        .hosts());
+        this.dispatcher = new RequestDispatcher(
+                eventLoop,
+                config.limits().maxOpenRequests(),
+                config.settings().limits().maxAttempts(),
+                counters,
+                policy,
+                hosts,
+                loadReports);
+        this.clients = new DownstreamServer(
+                eventLoop,
+                config.listen(),
+                config.settings(),
+                () -> descriptors().clients(),
+                dispatcher,
+                this);
         this.discovery = new DiscoveryClient(loop, config.discovery(), discoveryTimings(config), known, this);
         this.peers = new PeerTransport(this);
-        this.mail = peers;
+        this.peerSender = peers;
+        HealthChecker healthChecker = new HealthChecker(
+                eventLoop,
+                hosts,
+                loadReports,
+                (host, outcome, latencyMs, report) ->
+                        policy.post((now, p) -> p.healthCheckEnded(now, host, outcome, latencyMs, report)));
+        policy.connect(maker.apply(new PolicyActionExecutor(
+                eventLoop, policy, dispatcher, healthChecker, (peer, data) -> peerSender.send(peer, data))));
     }
 
     private static DiscoveryTimings discoveryTimings(GatewayConfig config) {
@@ -238,15 +242,19 @@
         return metrics;
     }
 
-    public RequestCounters tally() {
-        return tally;
+    RequestCounters counters() {
+        return counters;
+    }
+
+    /** The requests that are open. */
+    RequestDispatcher dispatcher() {
+        return dispatcher;
     }
 
     private void renewMetrics() {
         loop.schedule(this::renewMetrics, METRICS_PERIOD_MS, TimeUnit.MILLISECONDS);
-        long current =
-                open.values().stream().filter(r -> !r.closed() && r.isWhole()).count();
-        metrics = new MetricsSnapshot(tally.classes(), tally.sends(), current, module.clusterHealth(clock.now()));
+        metrics = new MetricsSnapshot(
+                counters.classes(), counters.sends(), dispatcher.waitingRequests(), policy.clusterHealth());
     }
 
     /** Whether the fleet serves clients, which would come here, too, rather than wait for this gateway's full speed. */
@@ -268,7 +276,7 @@
     private void begin(Snapshot left) {
         serving = true;
         lag.start();
-        tell((now, m) -> m.start(now, config.settings()));
+        policy.post((now, m) -> m.start(now, config.settings()));
         known.ifPresent(list -> endpointsUpdated(HostListKind.CACHED, list.entries()));
         known = Optional.empty(); // it would stay in memory
         if (left != null) {
@@ -276,14 +284,14 @@
                     "restored snapshot of predecessor",
                     "customers",
                     left.quotas().size());
-            tell((now, m) -> m.restoreSnapshot(now, left));
+            policy.post((now, m) -> m.restoreSnapshot(now, left));
         }
         renewMetrics();
     }
 
     /** Another way to the other gateways than datagrams. */
-    void linkBy(Mail other) {
-        mail = other;
+    void linkBy(PeerSender other) {
+        peerSender = other;
     }
 
     /** Takes from a new configuration what may change while clients are served; the rest waits for a restart. */
@@ -295,12 +303,12 @@
 
     @Override
     public Snapshot takeSnapshot() throws InterruptedException, ExecutionException {
-        return loop.submit(() -> module.takeSnapshot(clock.now())).get();
+        return loop.submit(() -> policy.takeSnapshot()).get();
     }
 
     @Override
     public void restoreSnapshot(Snapshot snapshot) {
-        loop.execute(() -> tell((now, m) -> m.restoreSnapshot(now, snapshot)));
+        loop.execute(() -> policy.post((now, m) -> m.restoreSnapshot(now, snapshot)));
     }
 
     @Override
@@ -308,302 +316,40 @@
         loop.execute(() -> beside = anotherRuns);
     }
 
-    // ---- telling the module
-
-    /**
-     * Tells the module in order, and never from inside itself: what its own actions bring about at once waits
-     * until it has returned.
-     */
-    private void tell(Event event) {
-        events.add(event);
-        if (telling) {
-            return;
-        }
-        telling = true;
-        try {
-            for (Event next = events.poll(); next != null; next = events.poll()) {
-                try {
-                    next.tell(clock.now(), module);
-                } catch (RuntimeException e) { // the guard of its deadline still answers the request concerned
-                    LOG.error("event handler threw", "cause", e);
-                    e.printStackTrace();
-                } catch (Error e) {
-                    FatalErrorHandler.check(e);
-                    throw e;
-                }
-            }
-        } finally {
-            telling = false;
-        }
-    }
-
-    /** Whether nobody will serve at this address soon. */
-    public boolean ending() {
+    @Override
+    public boolean isLeavingAddress() {
         return ending;
     }
 
     /** What this process may use: half of the sockets, while another shares them. */
-    public DescriptorBudget descriptors() {
+    DescriptorBudget descriptors() {
         return beside ? shared : alone;
     }
 
-    public boolean closing() {
+    @Override
+    public boolean isClosingConnections() {
         return closing;
     }
 
-    /** Whether a request of this id is open: a second one would be answered with what was made for the first. */
-    public boolean knows(String id) {
-        return open.containsKey(id);
-    }
-
-    /** Takes a request from its client, whole or with its body on its way; the entry owns the message from here on. */
-    public void taken(Request r, HttpRequest head, RequestBody body, DownstreamServer.Connection client) {
-        OpenRequest entry = new OpenRequest(r, head, body, client);
-        open.put(r.id(), entry);
-        client.holds(entry);
-        if (entry.isWhole()) {
-            guard(entry);
-        }
-        tell((now, m) -> m.requestReceived(now, r));
-    }
-
-    private void guard(OpenRequest r) {
-        r.guard = loop.schedule(() -> deadline(r), micros(r.deadlineMs() - clock.now()), TimeUnit.MICROSECONDS);
-    }
-
-    /** The last byte has come of a request that was taken before. */
-    public void whole(OpenRequest r) {
-        r.beginsAt(clock.now() - lag.ms());
-        guard(r);
-        tell((now, m) -> m.requestCompleted(now, r.request.id(), r.deadlineMs()));
-    }
-
-    public void bodyLeft(UpstreamAttempt a) {
-        tell((now, m) -> m.requestNotReplayable(now, a.owner.request.id()));
-    }
-
-    private static long micros(double ms) {
-        return (long) (Math.max(0, ms) * MICROS_PER_MS);
-    }
-
-    public boolean full() {
-        return open.size() >= config.limits().maxOpenRequests();
-    }
-
-    /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
-    private void deadline(OpenRequest r) {
-        if (r.passing != null
-                && (r.closed() || r.passing.isLong() || !r.client().takes())) {
-            return; // the first bytes came in time, and the rest has the client's
-        }
-        endAttempts(r); // a short answer that goes on and on is none: its client sees that it is not whole
-        if (!r.closed()) {
-            LOG.error("no decision before the deadline, request failed");
-            answer(r, RequestCounters.End.ERRORED, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
-        }
-    }
-
-    private void endAttempts(OpenRequest r) {
-        for (UpstreamAttempt a : List.copyOf(r.attempts)) {
-            if (!a.ended) {
-                a.abandon();
-                attemptEnded(a, Outcome.TIMEOUT, null);
-            }
-        }
-    }
-
-    public void clientLeft(OpenRequest r) {
-        if (r.closed()) {
-            return;
-        }
-        r.close(tally, RequestCounters.End.ERRORED);
-        tell((now, m) -> m.clientDisconnected(now, r.request.id()));
-        if (r.passing != null) {
-            r.passing.abandon();
-            attemptEnded(r.passing, Outcome.CANCELLED, null);
-        }
-        forgetIfOver(r);
-    }
-
-    /** Whether a client waits for it: asked before anything is sent, however late the loop comes to its sockets. */
-    public boolean isAwaited(OpenRequest r) {
-        return !r.closed() && r.client().stays();
-    }
-
-    /** An answer begins that is passed on as it comes; false where the client has its answer or is gone. */
-    public boolean answerBegun(UpstreamAttempt a, HttpResponse head) {
-        OpenRequest r = a.owner;
-        if (a.ended || r.closed()) {
-            return false;
-        }
-        r.passing = a;
-        r.client().begin(head, a);
-        tell((now, m) -> m.responseStarted(now, r.request.id(), a.number));
-        return true;
-    }
-
-    public void answerPart(UpstreamAttempt a, ByteBuf part) {
-        DownstreamServer.Connection client = a.owner.client();
-        if (client == null) {
-            part.release();
-        } else {
-            client.part(part);
-        }
-    }
-
-    /** The end of an attempt, told once; the first whole 200 goes to the client unchanged. */
-    public void attemptEnded(UpstreamAttempt a, Outcome outcome, FullHttpResponse response) {
-        if (a.ended) {
-            return;
-        }
-        a.ended = true;
-        a.stopTimer();
-        OpenRequest r = a.owner;
-        r.out--;
-        if (r.passing == a) {
-            DownstreamServer.Connection client =
-                    r.close(tally, outcome == Outcome.OK ? RequestCounters.End.ANSWERED : RequestCounters.End.ERRORED);
-            if (client != null) {
-                client.end(outcome == Outcome.OK);
-            }
-        } else if (outcome == Outcome.OK) {
-            DownstreamServer.Connection client = r.close(tally, RequestCounters.End.ANSWERED);
-            if (client != null) {
-                client.serve(response);
-            }
-        }
-        boolean closed = r.closed();
-        double took = a.took(clock.now());
-        HttpResponse told = a.told(response);
-        double[] report = told == null ? NO_REPORT : hosts.report(told);
-        int used = told == null ? 0 : UpstreamClient.used(told);
-        tell((now, m) -> m.attemptEnded(
-                now, new AttemptResult(r.request.id(), a.number, a.host, outcome, took, closed, used, 0, report)));
-        forgetIfOver(r);
-    }
-
-    private void forgetIfOver(OpenRequest r) {
-        if (r.closed() && r.out == 0 && open.remove(r.request.id(), r)) {
-            if (r.guard != null) {
-                r.guard.cancel(false);
-            }
-            r.body.discard();
-        }
-    }
-
     @Override
     public boolean hasEndpoints() {
-        return hosts.known();
+        return hosts.hasHosts();
     }
 
     @Override
     public void endpointsUpdated(HostListKind kind, List<EndpointList.Entry> entries) {
-        hosts.listed(kind, entries);
+        hosts.update(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
-        tell((now, m) -> m.hostsUpdated(now, kind, list));
-    }
-
-    public void probed(String host, Outcome outcome, double took, double[] report) {
-        tell((now, m) -> m.healthCheckEnded(now, host, outcome, took, report));
+        policy.post((now, m) -> m.hostsUpdated(now, kind, list));
     }
 
     void peerSaid(int peer, byte[] data) {
         if (serving) {
-            tell((now, m) -> m.peerMessageReceived(now, peer, data));
-        }
-    }
-
-    // ---- what the module does
-
-    @Override
-    public void sendAttempt(String id, String host, double timeoutMs) {
-        OpenRequest r = open.get(id);
-        if (r == null) {
-            return;
-        }
-        double now = clock.now();
-        UpstreamAttempt a = new UpstreamAttempt(this, r, host, now);
-        r.attempts.add(a);
-        r.out++;
-        if (!isAwaited(r)) {
-            clientLeft(r); // no news yet where it is told only by what stands in the socket
-        }
-        if (over
-                || r.closed()
-                || r.isWhole() && now >= r.deadlineMs()
-                || a.number >= config.settings().limits().maxAttempts()) {
-            attemptEnded(a, Outcome.NOT_SENT, null);
-            return;
-        }
-        if (timeoutMs > 0) {
-            a.limit(loop.schedule(
-                    () -> {
-                        a.abandon();
-                        attemptEnded(a, Outcome.TIMEOUT, null);
-                    },
-                    micros(timeoutMs),
-                    TimeUnit.MICROSECONDS));
-        }
-        hosts.send(a);
-    }
-
-    @Override
-    public void cancelAttempt(String id, int attempt) {
-        OpenRequest r = open.get(id);
-        if (r == null || attempt < 0 || attempt >= r.attempts.size() || r.attempts.get(attempt).ended) {
-            return;
-        }
-        UpstreamAttempt a = r.attempts.get(attempt);
-        a.abandon();
-        attemptEnded(a, Outcome.CANCELLED, null);
-    }
-
-    @Override
-    public void reject(String id, double retryAfterMs) {
-        answer(open.get(id), RequestCounters.End.DEFERRED, HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
-    }
-
-    @Override
-    public void fail(String id) {
-        answer(open.get(id), RequestCounters.End.ERRORED, HttpResponseStatus.BAD_GATEWAY, 0);
-    }
-
-    private void answer(OpenRequest r, RequestCounters.End end, HttpResponseStatus status, double retryAfterMs) {
-        DownstreamServer.Connection client = r == null ? null : r.close(tally, end);
-        if (client != null) {
-            client.answer(status, retryAfterMs);
+            policy.post((now, m) -> m.peerMessageReceived(now, peer, data));
         }
-        if (r != null) {
-            forgetIfOver(r);
-        }
-    }
-
-    @Override
-    public void startTimer(double delayMs, String token) {
-        loop.schedule(() -> tell((now, m) -> m.timerFired(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
     }
 
-    @Override
-    public void startHealthCheck(String host) {
-        hosts.probe(host);
-    }
-
-    @Override
-    public void sendToPeer(int peer, byte[] data) {
-        mail.send(peer, data);
-    }
-
-    /** There is no counter on these sockets, so a call can't get through. */
-    @Override
-    public void addToCounter(String counter, double amount, double lifetimeMs) {
-        tell((now, m) -> m.counterUpdated(now, counter, Outcome.CONNECT_FAILED, 0));
-    }
-
-    /** Discovery is always watched. */
-    @Override
-    public void subscribeToHosts() {}
-
     // ---- the end
 
     private void drainAndHalt(ProcessHandover handover) {
@@ -619,7 +365,7 @@
 
     /** Told to end, at whatever moment: also before it took anyone. */
     void end(boolean succeeded) {
-        if (!clients.started()) {
+        if (!clients.isStarted()) {
             ending = true;
             drained.countDown();
         } else if (succeeded) {
@@ -662,21 +408,13 @@
 
     /** Gives up every attempt and what came of requests that are not whole; all else is answered as ever. */
     void endAll() {
-        over = true;
+        dispatcher.stopSending();
         clients.closeUnfinished();
-        for (OpenRequest r :
-                open.values().stream().filter(o -> o.passing == null).toList()) {
-            endAttempts(r); // the module refuses or fails it, as its further attempts are void now
-        }
-        for (OpenRequest r : List.copyOf(open.values())) {
-            if (!r.closed() && r.passing == null) { // still held
-                answer(r, RequestCounters.End.ERRORED, HttpResponseStatus.BAD_GATEWAY, 0);
-            }
-        }
+        dispatcher.endAll();
     }
 
     private void awaitEmpty() {
-        if (open.isEmpty() && clients.idle()) {
+        if (dispatcher.isEmpty() && clients.isIdle()) {
             drained.countDown();
         } else {
             loop.schedule(this::awaitEmpty, POLL_MS, TimeUnit.MILLISECONDS);
@@ -689,7 +427,7 @@
 
     /** The port of the listener, where the configuration left it to the system. */
     public int port() {
-        return ((java.net.InetSocketAddress) clients.listener().localAddress()).getPort();
+        return clients.port();
     }
 
     /** Ends everything at once and answers nothing. */
--- a/src/main/java/caperrudder/server/OpenRequest.java
+++ b/src/main/java/caperrudder/server/OpenRequest.java
@@ -3,27 +3,35 @@
 import caperrudder.api.Request;
 import caperrudder.server.admin.RequestCounters;
 import caperrudder.server.downstream.DownstreamServer;
+import caperrudder.server.downstream.ReceivedRequest;
 import caperrudder.server.http.RequestBody;
-import caperrudder.server.upstream.UpstreamAttempt;
+import caperrudder.server.upstream.ForwardedRequest;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request in the table: its client, until answered or gone, and its attempts. */
-public final class OpenRequest {
-    public final Request request;
-    public final HttpRequest head;
-    public final RequestBody body; // until the entry leaves the table
-    public final List<UpstreamAttempt> attempts = new ArrayList<>(2);
-    private DownstreamServer.Connection client;
+/** A request in the dispatcher's table: its client, until answered or gone, and its attempts. */
+final class OpenRequest implements ReceivedRequest, ForwardedRequest {
+    private final RequestDispatcher dispatcher;
+    private final Request request;
+    private final HttpRequest head;
+    private final RequestBody body; // until the entry leaves the table
+    private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
+    private DownstreamServer.Connection client; // null once closed
     private boolean closed;
     private double deadlineMs;
-    UpstreamAttempt passing; // of which the answer goes to the client as it comes
-    int out; // attempts that have not ended
-    Future<?> guard;
+    private UpstreamAttempt streaming; // of which the response goes to the client as it comes
+    private int attemptsUnderWay;
+    private Future<?> deadlineTimer;
 
-    OpenRequest(Request request, HttpRequest head, RequestBody body, DownstreamServer.Connection client) {
+    OpenRequest(
+            RequestDispatcher dispatcher,
+            Request request,
+            HttpRequest head,
+            RequestBody body,
+            DownstreamServer.Connection client) {
+        this.dispatcher = dispatcher;
         this.request = request;
         this.head = head;
         this.body = body;
@@ -31,42 +39,121 @@
         this.deadlineMs = request.deadlineMs();
     }
 
-    boolean closed() {
-        return closed;
+    @Override
+    public String id() {
+        return request.id();
     }
 
-    /** Whether the client's time runs: its last byte has come. */
-    boolean isWhole() {
-        return body.isComplete();
+    @Override
+    public HttpRequest head() {
+        return head;
     }
 
-    double deadlineMs() {
-        return deadlineMs;
+    @Override
+    public RequestBody body() {
+        return body;
     }
 
-    /** The client's time begins now that all has come. */
-    void beginsAt(double now) {
-        deadlineMs = now + request.deadlineMs() - request.arrivedMs();
+    // ---- its client
+
+    @Override
+    public void completed() {
+        dispatcher.completed(this);
+    }
+
+    @Override
+    public void clientDisconnected() {
+        dispatcher.clientDisconnected(this);
+    }
+
+    /** The client, to which a response is being passed on; null once the request is closed. */
+    DownstreamServer.Connection client() {
+        return client;
     }
 
-    /** For how long a host's answer is waited for. */
-    public double leftMs(double now) {
-        return Math.max(1, isWhole() ? deadlineMs - now : request.deadlineMs() - request.arrivedMs());
+    /** Whether it has its response, or nobody waits for one. */
+    boolean isClosed() {
+        return closed;
     }
 
     /** The client to answer, for the one caller that ends the request; null for all later ones (rule 1). */
-    DownstreamServer.Connection close(RequestCounters tally, RequestCounters.End end) {
+    DownstreamServer.Connection close(RequestCounters counters, RequestCounters.End end) {
         DownstreamServer.Connection owed = client;
         if (!closed) {
-            tally.ended(request.requestClass(), end);
+            counters.ended(request.requestClass(), end);
         }
         closed = true;
         client = null;
         return owed;
     }
 
-    /** The client, to which an answer is being passed on; null once the request has ended. */
-    DownstreamServer.Connection client() {
-        return client;
+    // ---- its time
+
+    /** Whether the client's time runs: its last byte has come. */
+    boolean isComplete() {
+        return body.isComplete();
+    }
+
+    double deadlineMs() {
+        return deadlineMs;
+    }
+
+    /** The client's time begins now that all has come. */
+    void startTime(double nowMs) {
+        deadlineMs = nowMs + request.deadlineMs() - request.arrivedMs();
+    }
+
+    @Override
+    public double timeLeftMs(double nowMs) {
+        return Math.max(1, isComplete() ? deadlineMs - nowMs : request.deadlineMs() - request.arrivedMs());
+    }
+
+    void setDeadlineTimer(Future<?> timer) {
+        deadlineTimer = timer;
+    }
+
+    /** Lets go of what it holds, as it leaves the table. */
+    void release() {
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel(false);
+        }
+        body.discard();
+    }
+
+    // ---- its attempts
+
+    /** A further attempt, which is under way from now on. */
+    UpstreamAttempt addAttempt(String host, double nowMs) {
+        UpstreamAttempt attempt = new UpstreamAttempt(dispatcher, this, attempts.size(), host, nowMs);
+        attempts.add(attempt);
+        attemptsUnderWay++;
+        return attempt;
+    }
+
+    /** The attempt of this number, from 0 on; null where there is none. */
+    UpstreamAttempt attempt(int number) {
+        return number < 0 || number >= attempts.size() ? null : attempts.get(number);
+    }
+
+    /** All attempts up to now, of which further ones may be made meanwhile. */
+    List<UpstreamAttempt> attemptsUpToNow() {
+        return List.copyOf(attempts);
+    }
+
+    void attemptEnded() {
+        attemptsUnderWay--;
+    }
+
+    boolean hasAttempts() {
+        return attemptsUnderWay > 0;
+    }
+
+    /** The attempt of which the response goes to the client as it comes; null where there is none. */
+    UpstreamAttempt streaming() {
+        return streaming;
+    }
+
+    void setStreaming(UpstreamAttempt attempt) {
+        streaming = attempt;
     }
 }
--- a/src/main/java/caperrudder/server/PeerTransport.java
+++ b/src/main/java/caperrudder/server/PeerTransport.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 
 /** Messages between api gateways: datagrams, which may come late, damaged, from strangers or not at all. */
-final class PeerTransport extends SimpleChannelInboundHandler<DatagramPacket> implements GatewayServer.Mail {
+final class PeerTransport extends SimpleChannelInboundHandler<DatagramPacket> implements PeerSender {
     private static final Log LOG = Log.of("gossip");
     private static final int MAX_BYTES = 256;
     private static final int EVERYONE = -1;
--- a/src/main/java/caperrudder/server/downstream/DownstreamServer.java
+++ b/src/main/java/caperrudder/server/downstream/DownstreamServer.java
@@ -1,15 +1,13 @@
 package caperrudder.server.downstream;
 
 import caperrudder.api.Request;
-import caperrudder.server.GatewayServer;
-import caperrudder.server.OpenRequest;
-import caperrudder.server.admin.RequestCounters;
+import caperrudder.api.Settings;
 import caperrudder.server.http.HeaderValues;
 import caperrudder.server.http.RequestBody;
 import caperrudder.server.http.RequestHeaders;
+import caperrudder.server.runtime.EventLoopContext;
 import caperrudder.server.runtime.FatalErrorHandler;
 import caperrudder.server.runtime.Transport;
-import caperrudder.server.upstream.UpstreamAttempt;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -34,10 +32,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
+import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.function.IntSupplier;
 
 /** Accepts clients and writes the one answer to each request; decides which connections stay open. */
 public final class DownstreamServer {
@@ -56,8 +56,13 @@
     private static final double MS_PER_SECOND = 1000;
     private static final String READY = "/healthz";
 
-    private final GatewayServer node;
+    private final EventLoopContext eventLoop;
+    private final InetSocketAddress address;
     private final RequestParser terms;
+    private final IntSupplier maxConnections;
+    private final RequestHandler handler;
+    private final DrainStatus drain;
+    private final double retryAfterMs;
     private final LinkedHashSet<Connection> connections = new LinkedHashSet<>();
     private final LinkedHashSet<Connection> unused = new LinkedHashSet<>(); // no whole request came yet
     private final LinkedHashSet<Connection> casual = new LinkedHashSet<>(); // idle, asked once or for health alone
@@ -68,15 +73,27 @@
 
     private Channel listener;
 
-    public DownstreamServer(GatewayServer node) {
-        this.node = node;
-        this.terms = new RequestParser(node.config.settings());
+    public DownstreamServer(
+            EventLoopContext eventLoop,
+            InetSocketAddress address,
+            Settings settings,
+            IntSupplier maxConnections,
+            RequestHandler handler,
+            DrainStatus drain) {
+        this.eventLoop = eventLoop;
+        this.address = address;
+        this.terms = new RequestParser(settings);
+        this.maxConnections = maxConnections;
+        this.handler = handler;
+        this.drain = drain;
+        this.retryAfterMs = settings.limits().maxRetryAfterMs();
     }
 
     /** Clients are served once this is done. */
     public ChannelFuture start() {
-        ChannelFuture bound = node.transport
-                .server(node.group)
+        ChannelFuture bound = eventLoop
+                .transport()
+                .server(eventLoop.group())
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel ch) {
@@ -85,13 +102,13 @@
                         ch.pipeline().addLast(client);
                     }
                 })
-                .bind(node.transport.at(node.config.listen()));
+                .bind(eventLoop.transport().at(address));
         listener = bound.channel();
-        node.loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        eventLoop.loop().schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
         return bound;
     }
 
-    public boolean started() {
+    public boolean isStarted() {
         return listener != null;
     }
 
@@ -115,24 +132,25 @@
         List.copyOf(connections).forEach(Connection::closeUnfinished);
     }
 
-    public boolean idle() {
+    public boolean isIdle() {
         return connections.isEmpty();
     }
 
-    public Channel listener() {
-        return listener;
+    /** The port of the listener, where the configuration left it to the system. */
+    public int port() {
+        return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     private int maxConnections() {
-        return node.descriptors().clients();
+        return maxConnections.getAsInt();
     }
 
     // ---- which connections stay
 
     /** Silence, and a request that does not get on, end here; so do idle connections, sooner where there are many. */
     private void sweep() {
-        node.loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
-        double now = node.clock.now();
+        eventLoop.loop().schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        double now = eventLoop.clock().now();
         for (Connection c : List.copyOf(connections)) {
             if (c.overdue(now)) {
                 c.timeOut();
@@ -207,9 +225,9 @@
         private final Channel channel;
         private final RequestReader reader;
         private final ArrayDeque<Object> waiting = new ArrayDeque<>(); // requests, and at the end what is unreadable
-        private OpenRequest current;
+        private ReceivedRequest current;
         private RequestBody upload; // of the last request, while there is more of it to come
-        private UpstreamAttempt source; // of an answer on its way
+        private ResponseSource source; // of an answer on its way
         private boolean chunks; // the client reads a body in chunks
         private boolean closes; // the answer on its way is the last
         private boolean unframed; // and only the connection's end tells that it is whole
@@ -217,7 +235,7 @@
         private boolean busy;
         private boolean keepAlive = true;
         private boolean ended; // the last answer is on its way
-        private double idleSince = node.clock.now();
+        private double idleSince = eventLoop.clock().now();
         private int whole; // messages that came whole, of whatever kind
         private int requests; // those of them that the module was to decide
         private int faults;
@@ -226,7 +244,7 @@
 
         Connection(Channel channel) {
             this.channel = channel;
-            this.reader = new RequestReader(node.clock, node.budget, this::regulate);
+            this.reader = new RequestReader(eventLoop.clock(), eventLoop.budget(), this::regulate);
         }
 
         @Override
@@ -281,7 +299,7 @@
             lingering.add(this);
             reader.valve().discard();
             socketChannel.shutdownOutput();
-            node.loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
+            eventLoop.loop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
         }
 
         private void closeUnfinished() {
@@ -311,7 +329,7 @@
         /** Takes its place among those that may give way, behind the others of its kind. */
         private void rest() {
             if (!busy && !ended && upload == null) {
-                idleSince = node.clock.now();
+                idleSince = eventLoop.clock().now();
                 (requests > ASKED_ONCE ? idle : casual).add(this);
             }
         }
@@ -323,10 +341,10 @@
             waiting.clear();
             ended = true;
             stream(null);
-            OpenRequest left = current;
+            ReceivedRequest left = current;
             current = null;
             if (left != null) {
-                node.clientLeft(left);
+                left.clientDisconnected();
             }
         }
 
@@ -353,7 +371,7 @@
             if (channel.isActive() && !reader.valve().isShut()) {
                 Transport.readNow(channel); // it may have come while this loop was busy
             }
-            if (!overdue(node.clock.now())) {
+            if (!overdue(eventLoop.clock().now())) {
                 return;
             }
             keepAlive = false;
@@ -363,9 +381,9 @@
                 closeGently();
             } else if (upload != null) {
                 giveUpUpload();
-                answer(HttpResponseStatus.REQUEST_TIMEOUT, 0);
+                reply(HttpResponseStatus.REQUEST_TIMEOUT, 0);
             } else if (reader.unfinished()) {
-                answer(HttpResponseStatus.REQUEST_TIMEOUT, 0);
+                reply(HttpResponseStatus.REQUEST_TIMEOUT, 0);
             } else {
                 leave();
                 channel.close();
@@ -374,11 +392,11 @@
 
         /** The rest of a request will not come: no host is to wait for it. */
         private void giveUpUpload() {
-            OpenRequest left = current;
+            ReceivedRequest left = current;
             current = null;
             upload = null;
             if (left != null) {
-                node.clientLeft(left);
+                left.clientDisconnected();
             }
         }
 
@@ -391,10 +409,10 @@
             if (ended) {
                 closeGently(); // it was answered before
             } else if (current != null) {
-                node.whole(current);
+                current.completed();
             } else {
                 rest();
-                node.loop.execute(this::next);
+                eventLoop.loop().execute(this::next);
             }
         }
 
@@ -435,8 +453,9 @@
                 drop(waiting.pollLast()); // its end will not come
             }
             waiting.add(message);
-            if (node.lag.ms() > 0 || reader.valve().isGoingOn()) { // it is old, and its client may have left since
-                node.loop.execute(this::next);
+            if (eventLoop.lag().ms() > 0
+                    || reader.valve().isGoingOn()) { // it is old, and its client may have left since
+                eventLoop.loop().execute(this::next);
             } else {
                 next();
             }
@@ -454,8 +473,8 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (source != null) {
-                takenAt = node.clock.now();
-                source.reading(channel.isWritable());
+                takenAt = eventLoop.clock().now();
+                source.setReading(channel.isWritable());
             }
             next();
         }
@@ -481,7 +500,7 @@
                 leavePlace();
                 if (message instanceof RequestReader.Unreadable unreadable) {
                     keepAlive = false; // where the next request would begin is not known
-                    answer(unreadable.status(), 0);
+                    reply(unreadable.status(), 0);
                 } else if (message instanceof RequestReader.Arriving a) {
 
                     upload = a.body().isComplete() ? null : a.body();
@@ -498,25 +517,23 @@
             chunks = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
             if (request.uri().equals(READY)) {
                 body.discard();
-                answer(node.ending() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK, 0);
+                reply(drain.isLeavingAddress() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK, 0);
                 return;
             }
-            double now = node.clock.now();
-            Request read = terms.read(request, body, now, now - node.lag.ms());
-            if (read == null || node.knows(read.id())) {
+            double now = eventLoop.clock().now();
+            Request read = terms.read(request, body, now, now - eventLoop.lag().ms());
+            if (read == null || handler.isOpen(read.id())) {
                 boolean unknown = !request.headers().contains(RequestHeaders.TRACE_ID);
                 body.discard();
                 fault();
-                answer(unknown ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
-            } else if (node.full()) {
+                reply(unknown ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
+            } else if (handler.isFull()) {
                 body.discard();
-                node.tally().ended(read.requestClass(), RequestCounters.End.DEFERRED);
-                answer(
-                        HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        node.config.settings().limits().maxRetryAfterMs());
+                handler.rejectedAtCapacity(read.requestClass());
+                reply(HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterMs);
             } else {
                 requests++;
-                node.taken(read, request, body, this);
+                handler.received(read, request, body, this);
             }
         }
 
@@ -527,27 +544,29 @@
             }
             paused = true;
             regulate();
-            node.loop.schedule(
-                    () -> {
-                        paused = false;
-                        regulate();
-                    },
-                    PAUSE_MS,
-                    TimeUnit.MILLISECONDS);
+            eventLoop
+                    .loop()
+                    .schedule(
+                            () -> {
+                                paused = false;
+                                regulate();
+                            },
+                            PAUSE_MS,
+                            TimeUnit.MILLISECONDS);
         }
 
         /** Whether the client is there still: what stands in its socket is read before the loop comes to it. */
-        public boolean stays() {
+        public boolean isConnected() {
             reader.valve().look();
             return channel.isOpen();
         }
 
-        public void holds(OpenRequest r) {
+        public void open(ReceivedRequest r) {
             current = r;
         }
 
         /** Passes a host's answer on as it came. */
-        public void serve(FullHttpResponse from) {
+        public void relay(FullHttpResponse from) {
             FullHttpResponse to = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.content().retain());
             copyType(from, to);
@@ -562,7 +581,7 @@
         }
 
         /** Begins to pass an answer on as it comes, as fast as the client takes it. */
-        public void begin(HttpResponse from, UpstreamAttempt attempt) {
+        public void beginResponse(HttpResponse from, ResponseSource attempt) {
             HttpResponse to = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             copyType(from, to);
             long length = HttpUtil.getContentLength(from, -1L);
@@ -577,35 +596,35 @@
                 to.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             stream(attempt);
-            int window = node.budget.window();
+            int window = eventLoop.budget().window();
             channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(window / 2, window));
-            takenAt = node.clock.now();
+            takenAt = eventLoop.clock().now();
             channel.write(to, channel.voidPromise());
         }
 
-        private void stream(UpstreamAttempt from) {
+        private void stream(ResponseSource from) {
             if (source == null && from != null) {
-                node.budget.began();
+                eventLoop.budget().began();
             } else if (source != null && from == null) {
-                node.budget.ended();
+                eventLoop.budget().ended();
             }
             source = from;
         }
 
         /** Whether the client takes what it is given as fast as that comes. */
-        public boolean takes() {
+        public boolean isWritable() {
             return channel.isWritable();
         }
 
-        public void part(ByteBuf part) {
+        public void writePart(ByteBuf part) {
             channel.writeAndFlush(new DefaultHttpContent(part), channel.voidPromise());
             if (source != null) { // else the write has ended the connection
-                source.reading(channel.isWritable());
+                source.setReading(channel.isWritable());
             }
         }
 
         /** The answer on its way is whole, or broke: then the client is to see that it is not whole. */
-        public void end(boolean whole) {
+        public void endResponse(boolean whole) {
             stream(null);
             if (whole) {
                 over(LastHttpContent.EMPTY_LAST_CONTENT, closes || isLast());
@@ -625,7 +644,7 @@
             channel.close();
         }
 
-        public void answer(HttpResponseStatus status, double retryAfterMs) {
+        public void reply(HttpResponseStatus status, double retryAfterMs) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
             if (retryAfterMs > 0) {
@@ -647,7 +666,7 @@
 
         /** Whether the connection ends with this answer: in a drain only after what was sent ahead, too, has its own. */
         private boolean isLast() {
-            return !keepAlive || node.closing() && waiting.isEmpty();
+            return !keepAlive || drain.isClosingConnections() && waiting.isEmpty();
         }
 
         /** Writes the end of an answer. What still comes of its request is read away: a close would reset the answer. */
@@ -669,7 +688,7 @@
             channel.writeAndFlush(end, channel.voidPromise());
             rest();
             if (!waiting.isEmpty()) { // not at once: an answer may be given while the request is being taken
-                node.loop.execute(this::next);
+                eventLoop.loop().execute(this::next);
             }
         }
 
--- a/src/main/java/caperrudder/server/upstream/UpstreamClient.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamClient.java
@@ -3,14 +3,12 @@
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
 import caperrudder.api.Outcome;
-import caperrudder.server.GatewayServer;
 import caperrudder.server.discovery.EndpointList;
-import caperrudder.server.http.HeaderValues;
 import caperrudder.server.http.RequestBody;
 import caperrudder.server.http.RequestHeaders;
+import caperrudder.server.runtime.EventLoopContext;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
@@ -18,19 +16,15 @@
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -38,27 +32,32 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import java.util.function.IntSupplier;
 
 /** The pools of connections to hosts, and what is sent on them. */
 public final class UpstreamClient {
-    private static final String HOST = "backend.local";
-    private static final String REPORT = "Endpoint-Load-Metrics";
-    private static final String QUOTA_USED = "X-Quota-Used";
+    static final String HOST = "backend.local";
     private static final double IDLE_SHARE = 0.6; // of the time after which a host may close an idle connection
     private static final double REST_MS = 10; // an answer's second copy comes up to some milliseconds after it
     private static final long SWEEP_MS = 500;
-    private static final double PROBE_TIMEOUT_MS = 250;
 
-    private final GatewayServer node;
+    private final EventLoopContext eventLoop;
+    private final double idleMaxMs;
+    private final IntSupplier maxConnections;
     private final Map<String, Pool> pools = new LinkedHashMap<>();
     private final Bootstrap bootstrap;
     private int connections;
 
-    public UpstreamClient(GatewayServer node) {
-        this.node = node;
-        this.bootstrap = node.transport.client(node.loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
-                Math.max(1, node.config.limits().connectTimeoutMs()));
-        node.loop.schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
+    public UpstreamClient(
+            EventLoopContext eventLoop, double connectTimeoutMs, double idleMs, IntSupplier maxConnections) {
+        this.eventLoop = eventLoop;
+        this.idleMaxMs = idleMs * IDLE_SHARE;
+        this.maxConnections = maxConnections;
+        this.bootstrap = eventLoop
+                .transport()
+                .client(eventLoop.loop())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMs));
+        eventLoop.loop().schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** The connections to one host at one address in one life of its process. */
@@ -112,7 +111,7 @@
 
     // ---- the list
 
-    public void listed(HostListKind kind, List<EndpointList.Entry> entries) {
+    public void update(HostListKind kind, List<EndpointList.Entry> entries) {
         Set<String> named = new HashSet<>();
         for (EndpointList.Entry e : entries) {
             String id = e.host().id();
@@ -145,7 +144,7 @@
     }
 
     /** Whether the list names any host. */
-    public boolean known() {
+    public boolean hasHosts() {
         return !pools.isEmpty();
     }
 
@@ -157,8 +156,8 @@
     }
 
     private void closeIdle() {
-        node.loop.schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
-        double before = node.clock.now() - node.config.limits().idleConnectionMs() * IDLE_SHARE;
+        eventLoop.loop().schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
+        double before = eventLoop.clock().now() - idleMaxMs;
         for (Pool pool : pools.values()) {
             while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSince() < before) {
                 pool.idle.pollFirst().close();
@@ -168,7 +167,7 @@
 
     /** Makes room for one more connection at the cost of one that is idle somewhere. */
     private boolean room() {
-        if (connections < node.descriptors().hosts()) {
+        if (connections < maxConnections.getAsInt()) {
             return true;
         }
         for (Pool pool : pools.values()) {
@@ -183,39 +182,42 @@
 
     // ---- asking
 
-    public void send(UpstreamAttempt a) {
-        start(a.host, a, c -> write(a, c));
+    /** Sends the request to the host; the exchange may end at once, before this returns. */
+    public void send(String host, UpstreamExchange x, ForwardedRequest request) {
+        start(host, x, c -> write(x, request, c));
     }
 
-    private void write(UpstreamAttempt a, UpstreamConnection c) {
-        HttpRequest from = a.owner.head;
-        RequestBody body = a.owner.body;
+    private void write(UpstreamExchange x, ForwardedRequest request, UpstreamConnection c) {
+        HttpRequest from = request.head();
+        RequestBody body = request.body();
         if (body.isBuffered()) {
             ByteBuf content = body.copy();
             FullHttpRequest to = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(), content);
-            setHeaders(a, from, to);
+            setHeaders(request, to);
             if (!from.method().equals(HttpMethod.GET)) {
                 to.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
             }
-            c.write(a, to);
+            c.write(x, to);
             return;
         }
         HttpRequest to = new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri());
-        setHeaders(a, from, to);
+        setHeaders(request, to);
         long length = HttpUtil.getContentLength(from, -1L);
         if (length >= 0) {
             to.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else {
             to.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        c.write(a, to, body);
+        c.write(x, to, body);
     }
 
-    private void setHeaders(UpstreamAttempt a, HttpRequest from, HttpRequest to) {
+    private void setHeaders(ForwardedRequest request, HttpRequest to) {
+        HttpRequest from = request.head();
         HttpHeaders h = to.headers();
         h.set(HttpHeaderNames.HOST, HOST);
-        h.set(RequestHeaders.TRACE_ID, a.owner.request.id());
-        h.set(RequestHeaders.EXPIRES_IN_MS, Long.toString((long) a.owner.leftMs(node.clock.now())));
+        h.set(RequestHeaders.TRACE_ID, request.id());
+        h.set(RequestHeaders.EXPIRES_IN_MS, Long.toString((long)
+                request.timeLeftMs(eventLoop.clock().now())));
         String key = from.headers().get(RequestHeaders.IDEMPOTENCY_KEY);
         if (key != null) {
             h.set(RequestHeaders.IDEMPOTENCY_KEY, key);
@@ -226,51 +228,15 @@
         }
     }
 
-    public void probe(String host) {
-        List<String> names = node.config.settings().loadReportFields();
-        String path = names.isEmpty() ? "/healthz" : "/load";
-        double sentAt = node.clock.now();
-        UpstreamConnection.Exchange probe = new UpstreamConnection.Exchange() {
-            private boolean over;
-
-            @Override
-            void ended(Outcome outcome, FullHttpResponse response) {
-                if (!over) {
-                    over = true;
-                    node.probed(
-                            host,
-                            outcome,
-                            node.clock.now() - sentAt,
-                            response == null
-                                    ? new double[0]
-                                    : parse(response.content().toString(StandardCharsets.US_ASCII)));
-                }
-            }
-        };
-        start(host, probe, c -> {
-            FullHttpRequest message =
-                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-            message.headers().set(HttpHeaderNames.HOST, HOST);
-            c.write(probe, message);
-        });
-        node.loop.schedule(
-                () -> {
-                    if (probe.under()) {
-                        probe.abandon();
-                        probe.ended(Outcome.TIMEOUT, null);
-                    }
-                },
-                (long) PROBE_TIMEOUT_MS,
-                TimeUnit.MILLISECONDS);
-    }
-
-    private void start(String host, UpstreamConnection.Exchange x, Message message) {
+    void start(String host, UpstreamExchange x, MessageWriter message) {
         Pool pool = pools.get(host);
         if (pool == null) {
             x.ended(Outcome.CONNECT_FAILED, null); // its address was taken from the list
             return;
         }
-        for (UpstreamConnection c = pool.rested(node.clock.now()); c != null; c = pool.rested(node.clock.now())) {
+        for (UpstreamConnection c = pool.rested(eventLoop.clock().now());
+                c != null;
+                c = pool.rested(eventLoop.clock().now())) {
             if (c.ready()) {
                 message.writeTo(c);
                 return;
@@ -283,13 +249,14 @@
         connect(pool, x, message);
     }
 
-    private interface Message {
+    /** Writes the message of an exchange once it has its connection. */
+    interface MessageWriter {
         void writeTo(UpstreamConnection c);
     }
 
-    private void connect(Pool pool, UpstreamConnection.Exchange x, Message message) {
+    private void connect(Pool pool, UpstreamExchange x, MessageWriter message) {
         connections++;
-        UpstreamConnection c = new UpstreamConnection(pool, node.clock, node.budget);
+        UpstreamConnection c = new UpstreamConnection(pool, eventLoop.clock(), eventLoop.budget());
         c.await(x);
         ChannelFuture connecting = bootstrap
                 .clone()
@@ -299,10 +266,10 @@
                         c.attach(ch);
                     }
                 })
-                .connect(node.transport.at(pool.address));
+                .connect(eventLoop.transport().at(pool.address));
         connecting.addListener(f -> {
             if (!f.isSuccess()) { // also where no descriptor was left: that is told at once and on another thread
-                node.loop.execute(() -> {
+                eventLoop.loop().execute(() -> {
                     connections--;
                     c.lost();
                 });
@@ -322,38 +289,4 @@
             }
         });
     }
-
-    // ---- what answers tell beside their body
-
-    /** The customer's metered use as the module is told it, 1 + percent; 0 where the answer tells none. */
-    public static int used(HttpResponse response) {
-        double percent = HeaderValues.parseNumber(response.headers().get(QUOTA_USED), false);
-        return percent < 0 ? 0 : 1 + (int) percent;
-    }
-
-    public double[] report(HttpResponse response) {
-        String text = response.headers().get(REPORT);
-        return text == null ? new double[0] : parse(text);
-    }
-
-    /** The named values of {@code TEXT a=1, b=2}, in the order of the settings; empty where one is missing. */
-    private double[] parse(String text) {
-        List<String> names = node.config.settings().loadReportFields();
-        Map<String, Double> told = new HashMap<>();
-        for (String part : text.substring(text.indexOf(' ') + 1).split(",")) {
-            int equals = part.indexOf('=');
-            try {
-                double value = Double.parseDouble(part.substring(equals + 1).trim());
-                if (!Double.isFinite(value)) {
-                    return new double[0];
-                }
-                told.put(part.substring(0, Math.max(0, equals)).trim(), value);
-            } catch (NumberFormatException e) {
-                return new double[0];
-            }
-        }
-        return told.keySet().containsAll(names)
-                ? names.stream().mapToDouble(told::get).toArray()
-                : new double[0];
-    }
 }
--- a/src/main/java/caperrudder/server/upstream/UpstreamConnection.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamConnection.java
@@ -62,7 +62,7 @@
     private final StreamBufferBudget budget;
     private final Decoder decoder = new Decoder();
     private Channel channel;
-    private Exchange exchange;
+    private UpstreamExchange exchange;
     private boolean written; // the request's last byte has left
     private boolean begun; // of the answer, something has come
     private HttpResponse head;
@@ -86,57 +86,6 @@
         this.budget = budget;
     }
 
-    /** Something asked of a host that ends exactly once; its owner ignores what comes after. */
-    public abstract static class Exchange {
-        private UpstreamConnection connection;
-
-        /** Whether it is still to be sent, where its connection took time to come up. */
-        boolean isWanted() {
-            return true;
-        }
-
-        /** Its last byte has left for the host. */
-        void written() {}
-
-        /** A part of a body that is kept nowhere has left. */
-        void bodyLeft() {}
-
-        /** The head of an answer too long to be held: whether its parts are taken as they come. */
-        boolean begun(HttpResponse head) {
-            return false;
-        }
-
-        /** A part of such an answer, which is taken over. */
-        void part(ByteBuf part) {
-            part.release();
-        }
-
-        /** Whether the answer is to be read on. */
-        public final void reading(boolean on) {
-            if (connection != null) {
-                connection.reading(on);
-            }
-        }
-
-        /** How it ended; the response, where there is one, is only lent. */
-        abstract void ended(Outcome outcome, FullHttpResponse response);
-
-        final boolean under() {
-            return connection != null;
-        }
-
-        /** Stops waiting: its connection closes, so late bytes can never reach another request. */
-        public final void abandon() {
-            UpstreamConnection c = connection;
-            connection = null;
-            if (c != null) {
-                c.exchange = null;
-                c.stopUpload();
-                c.close();
-            }
-        }
-    }
-
     /** Reads answers; their lines may hold anything but what leaves their length open. */
     private final class Decoder extends HttpResponseDecoder {
         Decoder() {
@@ -175,12 +124,12 @@
         ch.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
     }
 
-    void await(Exchange x) {
+    void await(UpstreamExchange x) {
         exchange = x;
-        x.connection = this;
+        x.assignedTo(this);
     }
 
-    boolean awaits(Exchange x) {
+    boolean awaits(UpstreamExchange x) {
         return exchange == x;
     }
 
@@ -199,13 +148,13 @@
         return channel.isActive();
     }
 
-    void write(Exchange x, FullHttpRequest message) {
+    void write(UpstreamExchange x, FullHttpRequest message) {
         begin(x);
         wrote(x, channel.writeAndFlush(message));
     }
 
     /** Sends a body on as it comes and as fast as the host takes it. */
-    void write(Exchange x, HttpRequest message, RequestBody body) {
+    void write(UpstreamExchange x, HttpRequest message, RequestBody body) {
         begin(x);
         left = false;
         upload = body;
@@ -213,20 +162,20 @@
         body.setSink(this::pump);
     }
 
-    private void begin(Exchange x) {
+    private void begin(UpstreamExchange x) {
         await(x);
         written = begun = clean = passing = false;
         interim = 0;
     }
 
-    private void wrote(Exchange x, ChannelFuture last) {
+    private void wrote(UpstreamExchange x, ChannelFuture last) {
         last.addListener(f -> {
             if (exchange != x) {
                 return;
             }
             written = f.isSuccess();
             if (written) {
-                x.written();
+                x.requestSent();
             } else {
                 lost();
                 close();
@@ -242,7 +191,7 @@
         ByteBuf part = channel.isWritable() ? upload.poll() : null;
         for (; part != null; part = channel.isWritable() ? upload.poll() : null) {
             if (!left && exchange != null) {
-                exchange.bodyLeft();
+                exchange.bodyPartSent();
             }
             left = true;
             channel.write(new DefaultHttpContent(part), channel.voidPromise());
@@ -263,12 +212,19 @@
         }
     }
 
+    /** The exchange's owner waits no more. */
+    void abandoned() {
+        exchange = null;
+        stopUpload();
+        close();
+    }
+
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         pump();
     }
 
-    private void reading(boolean on) {
+    void setReading(boolean on) {
         if (channel.config().isAutoRead() != on) {
             progressAt = clock.now(); // the client's pace is no silence of the host
             channel.config().setAutoRead(on);
@@ -287,11 +243,11 @@
     }
 
     private void end(Outcome outcome, FullHttpResponse response) {
-        Exchange x = exchange;
+        UpstreamExchange x = exchange;
         exchange = null;
         stopUpload();
         if (x != null) {
-            x.connection = null;
+            x.released();
             x.ended(outcome, response);
         }
     }
@@ -353,7 +309,7 @@
                     EmptyHttpHeaders.INSTANCE);
             end(outcome(told), told);
             close();
-        } else if (exchange.begun(head)) {
+        } else if (exchange.responseStarted(head)) {
             passing = true;
             passedBytes = body.readableBytes();
             ByteBuf first = body;
@@ -366,7 +322,7 @@
 
     private void pass(ByteBuf part) {
         if (exchange != null && part.isReadable()) {
-            exchange.part(part);
+            exchange.responsePart(part);
         } else {
             part.release();
         }
@@ -400,7 +356,7 @@
             begun = decoder.leftOver();
         } else if (passing) {
             clean = written && bounded() && HttpUtil.isKeepAlive(head) && !decoder.leftOver();
-            reading(true);
+            setReading(true);
             end(Outcome.OK, null);
             if (!clean) {
                 close();
@@ -449,7 +405,7 @@
         }
     }
 
-    private void watch(Exchange x, double afterMs) {
+    private void watch(UpstreamExchange x, double afterMs) {
         stall = channel.eventLoop()
                 .schedule(
                         () -> {
--- a/src/test/java/caperrudder/server/LeavingClientTest.java
+++ b/src/test/java/caperrudder/server/LeavingClientTest.java
@@ -224,7 +224,7 @@
         node.loop
                 .submit(() -> {
                     c.close();
-                    node.sendAttempt("v", "h0", 0);
+                    node.dispatcher().send("v", "h0", 0);
                     return null;
                 })
                 .sync();
--- a/src/test/java/caperrudder/server/StreamingTest.java
+++ b/src/test/java/caperrudder/server/StreamingTest.java
@@ -191,7 +191,9 @@
         assertEquals(1, host.asked.size());
         assertEquals(
                 1,
-                node.loop.submit(() -> node.tally().classes().get(0).errored()).get());
+                node.loop
+                        .submit(() -> node.counters().classes().get(0).errored())
+                        .get());
     }
 
     /** Where only the connection's end tells that an answer is whole, a broken one ends by a reset. */
