--- a/src/main/java/caperrudder/api/AttemptResult.java
+++ b/src/main/java/caperrudder/api/AttemptResult.java
@@ -14,6 +14,7 @@
  * @param loadReport the values of the host's load report, in the order of the settings; empty where none came. Not to
  *     be changed
  */
+@SuppressWarnings("ArrayRecordComponent") // a result is read once and never compared
 public record AttemptResult(
         String requestId,
         int attempt,
--- a/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
+++ b/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
@@ -4,7 +4,6 @@
 import java.util.IdentityHashMap;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Predicate;
 
 /**
@@ -21,7 +20,7 @@
     private static final int NONE = -1;
 
     private final List<ClassQueue<R>> queues = new ArrayList<>(); // in the order of the settings
-    private final Map<TrafficClass, ClassQueue<R>> queueByClass = new IdentityHashMap<>();
+    private final IdentityHashMap<TrafficClass, ClassQueue<R>> queueByClass = new IdentityHashMap<>();
     private final ConcurrencyLimit limit;
     private final Dispatcher<R, D> dispatcher;
     private double virtualTime; // of the class that last had its turn, never falling
--- a/src/main/java/caperrudder/server/StartupProfileRun.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -39,6 +39,8 @@
                "effect": "repeatable", "goal_time_ms": 300, "hard_limit_ms": 600}],
                "plans": [{"name": "p", "units_per_s": 10, "depth": 10, "cap_rate": 20, "never_over_depth": 20}]}}
             """;
+
+    @SuppressWarnings("StringConcatToTextBlock") // lines of HTTP end in two characters
     private static final String REQUEST = "GET %s HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Plan: p\r\n"
             + "X-Customer: 00000000b4d65521\r\nX-Expires-In-Ms: 600\r\nX-Quota: units=1,spread=%d,first=0\r\n"
             + "Connection: close\r\n\r\n";
--- a/src/main/java/caperrudder/server/discovery/DiscoveryTimings.java
+++ b/src/main/java/caperrudder/server/discovery/DiscoveryTimings.java
@@ -15,9 +15,11 @@
     private static final double WATCH_MS = 3000;
 
     private static final double WATCH_JITTER = 0.1; // watches that were answered together end their wait one by one
-    /** How long a poll may be queued at a shared discovery service beyond its wait, */
+
+    /** How long a poll may be queued at a shared discovery service beyond its wait. */
     private static final double QUEUE_MS = 1500;
-    /** and at an agent on this machine, which answers at once. */
+
+    /** The same at an agent on this machine, which answers at once. */
     private static final double LOCAL_AGENT_MS = 1000;
 
     /** From the start of a connect to the first answer. */
--- a/src/main/java/caperrudder/server/runtime/HangupSignal.java
+++ b/src/main/java/caperrudder/server/runtime/HangupSignal.java
@@ -1,5 +1,7 @@
 package caperrudder.server.runtime;
 
+import sun.misc.Signal;
+
 /**
  * SIGHUP. The one class that uses {@code sun.misc.Signal}: Java has no other way to a signal, and all releases keep
  * this one (module {@code jdk.unsupported}).
@@ -10,8 +12,7 @@
     private HangupSignal() {}
 
     /** Runs {@code action} at each SIGHUP, on a thread of its own, in place of ending the process. */
-    @SuppressWarnings("sunapi")
     public static void onReceive(Runnable action) {
-        sun.misc.Signal.handle(new sun.misc.Signal(NAME), signal -> action.run());
+        Signal.handle(new Signal(NAME), signal -> action.run());
     }
 }
--- a/src/test/java/caperrudder/architecture/ArchitectureTest.java
+++ b/src/test/java/caperrudder/architecture/ArchitectureTest.java
@@ -170,6 +170,18 @@
         rule.check(program);
     }
 
+    /** That class is compiled apart, without javac's warnings: the build has it by its name. */
+    @Test
+    void oneClassAloneUsesWhatTheJdkDoesNotPromise() {
+        ArchRule rule = noClasses()
+                .that()
+                .doNotHaveFullyQualifiedName("caperrudder.server.runtime.HangupSignal")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("sun..", "jdk.internal..");
+        rule.check(program);
+    }
+
     private static ArchCondition<JavaClass> beInALayer() {
         return new ArchCondition<>("be in a package that has a layer") {
             @Override
--- a/src/test/java/caperrudder/policy/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/EndpointTableTest.java
@@ -122,6 +122,7 @@
         }
     }
 
+    @SuppressWarnings("EnumOrdinal") // drawn, never stored
     private void play(Random random, int me, int n, int numbers) {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(me, n, 5));
         WalkedHosts walked = new WalkedHosts();
--- a/src/test/java/caperrudder/policy/FakeGateway.java
+++ b/src/test/java/caperrudder/policy/FakeGateway.java
@@ -38,6 +38,7 @@
 
     record Sent(double at, String id, String host) {}
 
+    @SuppressWarnings("ArrayRecordComponent") // never compared
     record Told(int peer, byte[] data) {}
 
     private record Timer(double at, int order, String token) {}
--- a/src/test/java/caperrudder/policy/OverQuotaUnderLoadTest.java
+++ b/src/test/java/caperrudder/policy/OverQuotaUnderLoadTest.java
@@ -28,6 +28,7 @@
     private static final double ALLOWED = 0.1; // more than the price of the policy that sees late
 
     /** A deployment for a hundred gateways; of others, as many customers and hosts as their number asks. */
+    @SuppressWarnings("ArrayRecordComponent") // never compared
     record Deployment(
             List<Plan> plans,
             int[] customers,
--- a/src/test/java/caperrudder/policy/TrafficPolicyTest.java
+++ b/src/test/java/caperrudder/policy/TrafficPolicyTest.java
@@ -299,6 +299,7 @@
         assertFalse(playedActions(3).isEmpty());
     }
 
+    @SuppressWarnings("EnumOrdinal") // drawn, never stored
     private static List<String> playedActions(long seed) {
         FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
         Random random = new Random(seed);
--- a/src/test/java/caperrudder/scale/ScaleCommandTest.java
+++ b/src/test/java/caperrudder/scale/ScaleCommandTest.java
@@ -99,7 +99,7 @@
         long machine = 1000L << 20;
         for (long[] bad : new long[][] {{600 << 20, 600 << 20}, {1, 600 << 20}, {300 << 20, 200 << 20}}) {
             org.junit.jupiter.api.Assertions.assertThrows(
-                    IllegalArgumentException.class, () -> MemoryLimit.check(bad[0], bad[1], machine));
+                    IllegalArgumentException.class, () -> MemoryLimit.check((double) bad[0], bad[1], machine));
         }
         MemoryLimit.check(300 << 20, 400 << 20, machine);
     }
--- a/src/test/java/caperrudder/server/HostAnswersTest.java
+++ b/src/test/java/caperrudder/server/HostAnswersTest.java
@@ -118,6 +118,7 @@
 
     /** Both are good answers: 1xx ahead is no answer yet, and a load report is only worth what it can be read for. */
     @Test
+    @SuppressWarnings("StringConcatToTextBlock") // lines of HTTP end in two characters
     void interimAnswersAndAReportThatCantBeReadCostNothing() throws Exception {
         Server host = host((m, s) -> {
             s.getOutputStream()
--- a/src/test/java/caperrudder/server/Sockets.java
+++ b/src/test/java/caperrudder/server/Sockets.java
@@ -32,6 +32,7 @@
     private Sockets() {}
 
     /** An HTTP message as it came over a socket; {@code whole} is false where the connection ended inside it. */
+    @SuppressWarnings("ArrayRecordComponent") // never compared
     public record Message(String start, Map<String, String> headers, byte[] body) {
         public int status() {
             return Integer.parseInt(start.split(" ")[1]);
--- a/src/test/java/caperrudder/server/discovery/DiscoveryTimingsTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryTimingsTest.java
@@ -44,7 +44,10 @@
             ends(t.firstAnswerMs() + t.backoffMs(REFUSES_MS, 0, true) + line, MOVED_MS, "move, silence, refusal");
             ends(t.backoffMs(REFUSES_MS, 0, true) + t.firstAnswerMs() + line, MOVED_MS, "move, refusal, silence");
             if (pushed) {
-                ends(t.backoffMs(REFUSES_MS, failures, failures == 0), Math.max(75, 0.45 * graceMs), "a rest nearby");
+                ends(
+                        (double) t.backoffMs(REFUSES_MS, failures, failures == 0),
+                        Math.max(75, 0.45 * graceMs),
+                        "a rest nearby");
             }
         }
     }
