--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -135,7 +135,7 @@
                 dispatcher,
                 this);
         this.discovery = new DiscoveryClient(loop, config.discovery(), discoveryTimings(config), known, this);
-        this.peers = new PeerTransport(this);
+        this.peers = new PeerTransport(loop, config.gossip(), this::peerMessageReceived);
         this.peerSender = peers;
         HealthChecker healthChecker = new HealthChecker(
                 eventLoop,
@@ -196,9 +196,7 @@
     private boolean start(Snapshot left) throws IOException {
         try {
             loop.submit(() -> {
-                        if (!peers.started()) {
-                            peers.start();
-                        }
+                        peers.start();
                         begin(left);
                         return discovery.start(FIRST_LIST_MS);
                     })
@@ -259,7 +257,7 @@
 
     /** Whether the fleet serves clients, which would come here, too, rather than wait for this gateway's full speed. */
     boolean isMissed() {
-        return loop.submit(peers::hasHeard).syncUninterruptibly().getNow();
+        return loop.submit(peers::hasHeardPeers).syncUninterruptibly().getNow();
     }
 
     /** Serves, on the event loop, the hosts that the configuration names and no others. */
@@ -290,8 +288,8 @@
     }
 
     /** Another way to the other gateways than datagrams. */
-    void linkBy(PeerSender other) {
-        peerSender = other;
+    void sendToPeersBy(PeerSender sender) {
+        peerSender = sender;
     }
 
     /** Takes from a new configuration what may change while clients are served; the rest waits for a restart. */
@@ -344,7 +342,7 @@
         policy.post((now, m) -> m.hostsUpdated(now, kind, list));
     }
 
-    void peerSaid(int peer, byte[] data) {
+    void peerMessageReceived(int peer, byte[] data) {
         if (serving) {
             policy.post((now, m) -> m.peerMessageReceived(now, peer, data));
         }
--- a/src/main/java/caperrudder/server/StartupWarmUp.java
+++ b/src/main/java/caperrudder/server/StartupWarmUp.java
@@ -156,7 +156,8 @@
         }
         for (GatewayServer node : nodes) {
             int me = node.config.settings().gatewayIndex();
-            node.linkBy((peer, data) -> group.execute(() -> nodes.get(1 - me).peerSaid(me, data)));
+            node.sendToPeersBy(
+                    (peer, data) -> group.execute(() -> nodes.get(1 - me).peerMessageReceived(me, data)));
             group.submit(() -> node.listen()).sync().getNow().sync();
             group.execute(() -> node.endpointsUpdated(HostListKind.FULL, list));
         }
