--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -174,8 +174,8 @@
                     "answers",
                     StartupWarmUp.run(
                             config,
-                            StartupWarmUp.ENOUGH,
-                            handover.warmUpLimitMs(StartupWarmUp.PATIENCE_MS),
+                            StartupWarmUp.ENOUGH_ANSWERS,
+                            handover.warmUpLimitMs(StartupWarmUp.TIMEOUT_MS),
                             node::isMissed));
             if (node.start(handover.predecessorSnapshot().orElse(null))) {
                 handover.startServing();
@@ -261,7 +261,7 @@
     }
 
     /** Serves, on the event loop, the hosts that the configuration names and no others. */
-    ChannelFuture listen() {
+    ChannelFuture startWithoutDiscovery() {
         begin(null);
         return open();
     }
@@ -379,7 +379,7 @@
         DrainTimings times = DrainTimings.of(config.settings().classes());
         loop.schedule(this::stopAccepting, times.acceptMs(), TimeUnit.MILLISECONDS);
         loop.schedule(this::stopServing, times.serveMs(), TimeUnit.MILLISECONDS);
-        loop.schedule(this::endAll, times.endMs(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::abandonOpenRequests, times.endMs(), TimeUnit.MILLISECONDS);
     }
 
     /** Another process serves at this address: takes nobody more, and leaves once nobody is connected. */
@@ -389,7 +389,7 @@
         stopAccepting().addListener(f -> awaitEmpty()); // those who waited are taken by then
         DrainTimings times = DrainTimings.of(config.settings().classes());
         loop.schedule(this::stopServing, times.serveMs(), TimeUnit.MILLISECONDS);
-        loop.schedule(this::endAll, times.endMs(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::abandonOpenRequests, times.endMs(), TimeUnit.MILLISECONDS);
     }
 
     public ChannelFuture stopAccepting() {
@@ -405,7 +405,7 @@
     }
 
     /** Gives up every attempt and what came of requests that are not whole; all else is answered as ever. */
-    void endAll() {
+    void abandonOpenRequests() {
         dispatcher.stopSending();
         clients.closeUnfinished();
         dispatcher.endAll();
--- a/src/main/java/caperrudder/server/StartupProfileRun.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -64,8 +64,8 @@
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try (AdminServer admin = new AdminServer(
                 any, DescriptorBudget.exclusive(config.limits().sockets()).admin(), node::isReady, node::metrics)) {
-            if (StartupWarmUp.run(config, StartupWarmUp.ENOUGH, BUILD_PATIENCE_MS, () -> false)
-                    < StartupWarmUp.ENOUGH) {
+            if (StartupWarmUp.run(config, StartupWarmUp.ENOUGH_ANSWERS, BUILD_PATIENCE_MS, () -> false)
+                    < StartupWarmUp.ENOUGH_ANSWERS) {
                 throw new IOException("the warm-up came to a halt");
             }
             node.start();
--- a/src/test/java/caperrudder/server/DrainTest.java
+++ b/src/test/java/caperrudder/server/DrainTest.java
@@ -89,7 +89,7 @@
         Client other = client(node); // answered after the half has been read
         assertEquals(200, other.send(view("x", Sockets.PATIENCE_MS)).receive().status());
         node.loop.submit(node::stopServing).sync();
-        node.loop.submit(node::endAll).sync();
+        node.loop.submit(node::abandonOpenRequests).sync();
         assertNull(half.receive());
         assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
     }
--- a/src/test/java/caperrudder/server/ProcessTest.java
+++ b/src/test/java/caperrudder/server/ProcessTest.java
@@ -424,7 +424,7 @@
                     .filter(l -> l.startsWith("INFO gateway: warmed up answers="))
                     .findFirst()
                     .orElseThrow();
-            assertTrue(Integer.parseInt(warm.substring(warm.indexOf('=') + 1)) <= StartupWarmUp.ENOUGH, warm);
+            assertTrue(Integer.parseInt(warm.substring(warm.indexOf('=') + 1)) <= StartupWarmUp.ENOUGH_ANSWERS, warm);
         }
     }
 
--- a/src/test/java/caperrudder/server/StartupWarmUpTest.java
+++ b/src/test/java/caperrudder/server/StartupWarmUpTest.java
@@ -30,7 +30,7 @@
 
     /** Every request is answered, whatever goes wrong among its hosts, and nothing of it runs on. */
     @Test
-    void answersAllAndLeavesNothingBehind() throws Exception {
+    void everyRequestIsAnsweredAndNoEventLoopRunsOn() throws Exception {
         Set<String> before = loops();
         assertEquals(FEW, StartupWarmUp.run(config(), FEW, Sockets.PATIENCE_MS, () -> false));
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
@@ -42,7 +42,7 @@
 
     /** What it did to quotas, hosts and bounds was done to other modules: the first real customer finds all new. */
     @Test
-    void leavesTheRealNodeAsItWas() throws Exception {
+    void policyOfTheRealGatewayIsUntouched() throws Exception {
         StartupWarmUp.run(config(), FEW, Sockets.PATIENCE_MS, () -> false);
         Server host = host(SocketTest::echo);
         Client client = client(nodeBefore(host));
