--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -57,11 +57,7 @@
     private static final double TROUBLED = 2.2; // slowness from which a host is worse than chance makes it
     private static final double SILENT_AFTER = 5; // expected times, and
     private static final double QUIET_MS = 400; // so much, after which it is overdue
-    private static final String IN_WORK = "inflight"; // a report's name for the requests that a host holds
-    private static final double CROWD_GAIN = 0.05; // weight of one report in what warm hosts hold on the mean
-    private static final double LEAN = 1.5; // times its share that a host gets at most for what it reports
     private static final double ZONE_COST = 0.05; // crossing zones, as share of the score of an idle host
-    private static final double COLD_SAFETY = 0.7; // of a cold host's allowance: bursts fit in the rest
     private static final int HOMES = 8; // hosts a gateway keeps to, while they serve; more
     private static final int HOST_GATEWAYS = 6; // where a host would have fewer gateways than this
     private static final int STEADY = 100; // gateways: of more, homes stay where other hosts come and go
@@ -85,10 +81,11 @@
     private AdmissionControl admission;
     private Settings set;
     private Random random;
+    private SlowStart slowStart;
+    private LoadReports loadReports;
     private double sweptAt, surveyedAt;
     double capacity;
     private double lost; // what cold and bad hosts can't do of it, as last counted
-    private double crowd; // requests that a warm host holds on the mean of all reports
     private final OverdueShare lateness = new OverdueShare();
     private EventLoopStalls stalls;
     private RetryPolicy retries;
@@ -107,6 +104,8 @@
         gossip = new QuotaGossip(now, settings, quotas, ownership, act);
         admission = new AdmissionControl(settings, quotas, ownership, gossip, lateness::share);
         table = new EndpointTable(gatewayCount() > STEADY);
+        slowStart = new SlowStart(settings.rules());
+        loadReports = new LoadReports(settings.loadReportFields(), slowStart);
         classes = new TrafficClasses(settings);
         limit = new ConcurrencyLimit(now, gatewayCount(), classes.all());
         scheduler = new FairScheduler<>(classes.all(), limit, new AttemptDispatcher());
@@ -128,7 +127,7 @@
             Endpoint s = table.put(h);
             if (h.startedMs() > 0 && h.startedMs() > s.startedAtMs()) {
                 s.restarted(h.startedMs(), random.nextDouble()); // or all gateways' first ones would come together
-                if (rampOf(s, now) < 1) table.unsettled().add(s);
+                if (slowStart.isWarmingUp(s, now)) table.unsettled().add(s);
                 if (coldest == null || s.startedAtMs() > coldest.startedAtMs()) coldest = s; // till counted
             }
         }
@@ -414,19 +413,13 @@
 
     // ---- hosts
 
-    private double rampOf(Endpoint s, double now) {
-        double from = set.rules().coldStartCapacity();
-        double done = (now - s.startedAtMs()) / Math.max(1, set.rules().slowStartMs());
-        return done >= 1 ? 1 : Math.max(0.01, from + (1 - from) * Math.max(0, done));
-    }
-
     /** Counts what the hosts in use can do, so that each event needs only look-ups. */
     private void survey(double now) {
         surveyedAt = now;
-        table.unsettled().removeIf(s -> s.isUntried() && rampOf(s, now) >= 1);
+        table.unsettled().removeIf(s -> s.isUntried() && !slowStart.isWarmingUp(s, now));
         lost = table.unsettled().stream()
                 .filter(Endpoint::isUsable)
-                .mapToDouble(s -> s.latencyPenalty(now) < BAD_ANSWER ? 1 - rampOf(s, now) : 1)
+                .mapToDouble(s -> s.latencyPenalty(now) < BAD_ANSWER ? 1 - slowStart.capacity(s, now) : 1)
                 .sum();
         keepHomes(now);
     }
@@ -458,13 +451,13 @@
     private Endpoint pick(double now, PendingRequest ask) {
         int draws = Math.min(homes.size(), DRAWS + 2 * limit.inUse());
         Endpoint best = best(now, ask, ownCounts() ? homes : drawn(now, ask.trafficClass(), draws), false);
-        boolean warm = coldest == null || rampOf(coldest, now) >= 1;
+        boolean warm = coldest == null || !slowStart.isWarmingUp(coldest, now);
         if (warm) random.nextDouble(); // the draw that no cold host would win
         Endpoint cold = warm ? null : coldInTurn(now, ask);
         if (cold != null && (best == null || cold.isIdle())) return cold;
         if (best != null) return best;
         best = best(now, ask, others(ask), true);
-        if (best != null) best.setSlowStartCredit(Math.max(-1, best.slowStartCredit() - 1)); // that was its turn
+        if (best != null) slowStart.chargeRequest(best); // that was its turn
         return best;
     }
 
@@ -497,43 +490,20 @@
         for (Endpoint s : homes) {
             left -= able(now, s, ask.trafficClass());
             if (left > 0) continue;
-            if (rampOf(s, now) >= 1 || !legal(now, ask, ask.firstThatMayHaveRun(), s)) return null;
-            double credit = s.slowStartCredit() + Math.min(1, coldShare(s, now));
-            s.setSlowStartCredit(credit < 1 ? credit : credit - 1);
-            return credit < 1 ? null : s;
+            if (!slowStart.isWarmingUp(s, now) || !legal(now, ask, ask.firstThatMayHaveRun(), s)) return null;
+            return slowStart.earnsRequest(s, now) ? s : null;
         }
         return null;
     }
 
-    /** What may go to a host as a share of what a full one gets; over 1 where it is nearly warm (rule 4). */
-    private double coldShare(Endpoint s, double now) {
-        return COLD_SAFETY * set.rules().overloadMultiple() * rampOf(s, now);
-    }
-
     private double able(double now, Endpoint s, TrafficClass c) {
         return s.isUsable()
-                ? lean(now, s)
-                        * rampOf(s, now)
+                ? loadReports.correction(now, s)
+                        * slowStart.capacity(s, now)
                         / Math.max(1, s.latencyPenalty(now, c.spec().name()))
                 : 0;
     }
 
-    /**
-     * More for a host that holds less than others for what it can do, by its last report. Reports are late,
-     * so they only shift the chance of a turn: if all took the host that reports least, they would fill it.
-     */
-    private double lean(double now, Endpoint s) {
-        if (!s.hasReportedLoad()) return 1;
-        return Math.max(1 / LEAN, Math.min(LEAN, (1 + crowd) / (1 + s.reportedLoad() / rampOf(s, now))));
-    }
-
-    private void noteLoad(double now, Endpoint s, double[] report) {
-        int place = set.loadReportFields().indexOf(IN_WORK);
-        if (place < 0 || place >= report.length) return;
-        s.setReportedLoad(report[place]);
-        crowd += CROWD_GAIN * (s.reportedLoad() / rampOf(s, now) - crowd);
-    }
-
     private boolean ownCounts() {
         return DRAWS + 2 * limit.inUse() >= homes.size();
     }
@@ -553,8 +523,8 @@
         for (Endpoint s : among) {
             if (!s.isUsable() || !legal(now, ask, ask.firstThatMayHaveRun(), s)) continue;
             // A cold host has its turns beside; where there is no other, it takes part seldom (rule 4).
-            boolean cold = rampOf(s, now) < 1;
-            if (cold && (!colds || random.nextDouble() * among.size() > coldShare(s, now))) continue;
+            boolean cold = slowStart.isWarmingUp(s, now);
+            if (cold && (!colds || random.nextDouble() * among.size() > slowStart.allowedShare(s, now))) continue;
             double score = score(now, ask, s) * (1 + 1e-3 * random.nextDouble());
             if (score < bestScore) best = s;
             bestScore = Math.min(bestScore, score);
@@ -570,7 +540,7 @@
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
         double zone = !ownCounts() || s.host().zone().equals(set.zone()) ? 0 : ZONE_COST * ask.expectedWorkMs();
-        return (ask.expectedWorkMs() + s.outstandingWorkMs()) * doubt / rampOf(s, now) + zone;
+        return (ask.expectedWorkMs() + s.outstandingWorkMs()) * doubt / slowStart.capacity(s, now) + zone;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
@@ -615,7 +585,7 @@
             }
             default -> {}
         }
-        noteLoad(now, s, r.loadReport());
+        loadReports.record(now, s, r.loadReport());
         if (r.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
         if (r.outcome() == Outcome.OK) {
             double baseMs = c.latency().baseMs(ask.units());
