--- a/src/main/java/caperrudder/policy/EndpointTable.java
+++ b/src/main/java/caperrudder/policy/EndpointTable.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 
 /**
  * The hosts of a gateway's list: plain data and look-ups, no decision. What a change costs follows what it changes,
@@ -21,7 +22,6 @@
     private final RankedEndpoints open = new RankedEndpoints();
     private final Map<String, Map<Integer, RankedEndpoints>> places = new TreeMap<>(); // the open ones by zone and cell
     private final Set<Endpoint> unlisted = new LinkedHashSet<>();
-    private final Set<Endpoint> unsettled = new LinkedHashSet<>();
     private int listed;
     private List<Endpoint> run = List.of(); // as last asked for
     private Arc arc; // that it fills, or null
@@ -123,11 +123,11 @@
     }
 
     /** Forgets the hosts that are no longer listed and hold nothing. */
-    void forgetUnlisted() {
+    void removeUnlisted(Consumer<Endpoint> onRemoval) {
         unlisted.removeIf(s -> {
             if (!s.isIdle()) return false;
             all.remove(key(s.host().id()), s);
-            unsettled.remove(s);
+            onRemoval.accept(s);
             return true;
         });
     }
@@ -147,11 +147,6 @@
         return listed - open.size();
     }
 
-    /** Hosts of which more is known than what the list says, for the module to add to and take from. */
-    Set<Endpoint> unsettled() {
-        return unsettled;
-    }
-
     /**
      * The open hosts whose keys lie in {@code parts} of the {@code of} equal parts of their range from this one on,
      * counted round; where these are fewer than {@code least}, the next ones too; not to be changed.
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -50,10 +50,6 @@
     // Waiting requests
     private static final int SCAN = 16; // held requests passed over for want of a legal host, a turn
     // Hosts
-    private static final double SLOW_GAIN = 0.12; // weight of one answer in a host's slowness
-    private static final double FAILED_GAIN = 0.4; // weight of a failure or of an overdue attempt
-    private static final double BAD_ANSWER = 4; // slowness of a full host, and of one tried before
-    private static final double CLEARED = 1.3; // slowness below which a further failure is a first one again
     private static final double TROUBLED = 2.2; // slowness from which a host is worse than chance makes it
     private static final double SILENT_AFTER = 5; // expected times, and
     private static final double QUIET_MS = 400; // so much, after which it is overdue
@@ -83,6 +79,7 @@
     private Random random;
     private SlowStart slowStart;
     private LoadReports loadReports;
+    private OutlierDetector outliers;
     private double sweptAt, surveyedAt;
     double capacity;
     private double lost; // what cold and bad hosts can't do of it, as last counted
@@ -106,6 +103,7 @@
         table = new EndpointTable(gatewayCount() > STEADY);
         slowStart = new SlowStart(settings.rules());
         loadReports = new LoadReports(settings.loadReportFields(), slowStart);
+        outliers = new OutlierDetector(settings.classes());
         classes = new TrafficClasses(settings);
         limit = new ConcurrencyLimit(now, gatewayCount(), classes.all());
         scheduler = new FairScheduler<>(classes.all(), limit, new AttemptDispatcher());
@@ -127,7 +125,7 @@
             Endpoint s = table.put(h);
             if (h.startedMs() > 0 && h.startedMs() > s.startedAtMs()) {
                 s.restarted(h.startedMs(), random.nextDouble()); // or all gateways' first ones would come together
-                if (slowStart.isWarmingUp(s, now)) table.unsettled().add(s);
+                if (slowStart.isWarmingUp(s, now)) outliers.observe(s);
                 if (coldest == null || s.startedAtMs() > coldest.startedAtMs()) coldest = s; // till counted
             }
         }
@@ -293,17 +291,12 @@
     /** Avoided is what the list says not to use, and what has done so badly that others come before it. */
     @Override
     public ClusterHealth clusterHealth(double now) {
-        long bad = table.unsettled().stream()
-                .filter(s -> s.isUsable()
-                        && classes.all().stream()
-                                .anyMatch(c -> s.latencyPenalty(now, c.spec().name()) >= BAD_ANSWER))
-                .count();
-        return new ClusterHealth(table.listed(), table.drained() + (int) bad);
+        return new ClusterHealth(table.listed(), table.drained() + outliers.ejectedCount(now));
     }
 
     @Override
     public Snapshot takeSnapshot(double now) {
-        return new SnapshotTransfer(table, classes).write(now, limit.perHost(), quotas.snapshot(now));
+        return new Snapshot(now, limit.perHost(), quotas.snapshot(now), outliers.takeSnapshot(), classes.snapshot());
     }
 
     /** Before the first request all is taken over; from then on only what the other process still uses. */
@@ -312,7 +305,7 @@
         for (QuotaSnapshot b : books.quotas()) quotas.restore(now, books.takenAtMs(), b);
         if (!asks.isEmpty() || classes.haveSamples()) return;
         limit.restore(books.concurrencyPerHost());
-        new SnapshotTransfer(table, classes).readHealth(now, books.health());
+        outliers.restore(now, books.health(), table);
         classes.restore(books.classes());
     }
 
@@ -354,7 +347,7 @@
             ask.trafficClass().noteHold(now - ask.arrivedAt());
             if (ask.quota() != null) ask.quota().sent(ask.units());
         }
-        table.unsettled().add(s);
+        outliers.observe(s);
         if (!ask.isBodyPending()) place(now, a);
         act.sendAttempt(ask.id(), s.host().id(), 0);
     }
@@ -416,11 +409,8 @@
     /** Counts what the hosts in use can do, so that each event needs only look-ups. */
     private void survey(double now) {
         surveyedAt = now;
-        table.unsettled().removeIf(s -> s.isUntried() && !slowStart.isWarmingUp(s, now));
-        lost = table.unsettled().stream()
-                .filter(Endpoint::isUsable)
-                .mapToDouble(s -> s.latencyPenalty(now) < BAD_ANSWER ? 1 - slowStart.capacity(s, now) : 1)
-                .sum();
+        outliers.forgetIf(s -> s.isUntried() && !slowStart.isWarmingUp(s, now));
+        lost = outliers.missingCapacity(now, slowStart);
         keepHomes(now);
     }
 
@@ -536,7 +526,7 @@
         double doubt = s.latencyPenalty(now, ask.trafficClass().spec().name());
         if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
         for (Attempt a : ask.attempts()) {
-            if (a.endpoint() == s) doubt *= BAD_ANSWER;
+            if (a.endpoint() == s) doubt *= OutlierScore.EJECTION_PENALTY;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
         double zone = !ownCounts() || s.host().zone().equals(set.zone()) ? 0 : ZONE_COST * ask.expectedWorkMs();
@@ -557,33 +547,13 @@
     private void learn(double now, PendingRequest ask, Attempt a, AttemptResult r) {
         Endpoint s = a.endpoint();
         TrafficClass c = ask.trafficClass();
-        switch (r.outcome()) {
-            case OK -> {
-                s.scores().overall().record(r.latencyMs() / Math.max(1, a.expectedWorkMs()), SLOW_GAIN, now);
-                OutlierScore ofClass = s.scores().of(c.spec().name());
-                ofClass.record(1, SLOW_GAIN, now);
-                s.scores().overall().clearFailures();
-                // A host that fails most requests at once serves some: one good answer clears it of nothing.
-                if (ofClass.latencyPenalty(now) < CLEARED) ofClass.clearFailures();
-                c.noteServed(r.latencyMs(), now - ask.arrivedAt(), ask.units());
-                lateness.note(now - ask.arrivedAt() > c.spec().latencyObjectiveMs());
-                if (ask.quota() != null && set.sharing().postPaid() && r.trueUnits() > 0) {
-                    ask.quota().charge(r.trueUnits() - ask.units());
-                }
-            }
-                // No connection, and again none: down or full, the host takes nothing from us now.
-            case CONNECT_FAILED -> s.scores().overall().recordFailure(1, now);
-            case REJECTED -> s.scores().overall().record(BAD_ANSWER, FAILED_GAIN, now);
-            case ERROR, RESET, TIMEOUT -> {
-                s.scores().of(c.spec().name()).recordFailure(FAILED_GAIN, now);
-                // Among many gateways each meets a host too seldom to convict it class by class.
-                boolean several = classes.all().stream()
-                                .filter(k -> s.scores().of(k.spec().name()).hasFailures())
-                                .count()
-                        > 1;
-                if (several) s.scores().overall().record(OutlierScore.MAX_PENALTY, FAILED_GAIN, now);
+        outliers.recordResult(now, s, c.spec(), a.expectedWorkMs(), r);
+        if (r.outcome() == Outcome.OK) {
+            c.noteServed(r.latencyMs(), now - ask.arrivedAt(), ask.units());
+            lateness.note(now - ask.arrivedAt() > c.spec().latencyObjectiveMs());
+            if (ask.quota() != null && set.sharing().postPaid() && r.trueUnits() > 0) {
+                ask.quota().charge(r.trueUnits() - ask.units());
             }
-            default -> {}
         }
         loadReports.record(now, s, r.loadReport());
         if (r.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
@@ -601,7 +571,7 @@
                 double waited = a.elapsedMs(now, stalls.totalMs());
                 if (a.isOverdue() || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
                 a.markOverdue();
-                s.scores().of(a.request().trafficClass().spec().name()).recordFailure(FAILED_GAIN, now);
+                outliers.recordOverdue(now, s, a.request().trafficClass().spec());
                 if (retries.shouldCancel(now, a)) act.cancelAttempt(a.request().id(), a.number());
             }
         }
@@ -615,6 +585,6 @@
         if (now - sweptAt < SWEEP_MS) return;
         sweptAt = now;
         quotas.forgetIdle(now, gossip::release);
-        table.forgetUnlisted();
+        table.removeUnlisted(outliers::forget);
     }
 }
