--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -2,7 +2,6 @@
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.ClusterHealth;
-import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
 import caperrudder.api.Idempotency;
@@ -100,7 +99,7 @@
         quotas = new QuotaTable(now, settings, ownership);
         gossip = new QuotaGossip(now, settings, quotas, ownership, act);
         admission = new AdmissionControl(settings, quotas, ownership, gossip, lateness::share);
-        table = new EndpointTable(gatewayCount() > STEADY);
+        table = new EndpointTable(new EndpointOrder(gatewayCount() > STEADY));
         slowStart = new SlowStart(settings.rules());
         loadReports = new LoadReports(settings.loadReportFields(), slowStart);
         outliers = new OutlierDetector(settings.classes());
@@ -120,7 +119,7 @@
     public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
         if (kind == HostListKind.FAILED) act.startTimer(RESUBSCRIBE_AFTER_MS, "watch");
         if (kind == HostListKind.FAILED) return;
-        if (kind != HostListKind.CHANGES) table.beginList();
+        if (kind != HostListKind.CHANGES) table.beginFullList();
         for (Host h : hosts) {
             Endpoint s = table.put(h);
             if (h.startedMs() > 0 && h.startedMs() > s.startedAtMs()) {
@@ -129,9 +128,9 @@
                 if (coldest == null || s.startedAtMs() > coldest.startedAtMs()) coldest = s; // till counted
             }
         }
-        if (kind != HostListKind.CHANGES) table.endList();
+        if (kind != HostListKind.CHANGES) table.endFullList();
         // Of many hosts a few cold ones more or less may wait for the next beat.
-        if (kind == HostListKind.CHANGES && hosts.size() < table.openCount() / COMPARED) keepHomes(now);
+        if (kind == HostListKind.CHANGES && hosts.size() < table.usableCount() / COMPARED) keepHomes(now);
         else survey(now);
         release(now);
     }
@@ -291,7 +290,7 @@
     /** Avoided is what the list says not to use, and what has done so badly that others come before it. */
     @Override
     public ClusterHealth clusterHealth(double now) {
-        return new ClusterHealth(table.listed(), table.drained() + outliers.ejectedCount(now));
+        return new ClusterHealth(table.listedCount(), table.unusableCount() + outliers.ejectedCount(now));
     }
 
     @Override
@@ -420,19 +419,27 @@
      * host that comes is a home more for those whose arcs it lies in. Few hosts would lie there unevenly.
      */
     private void keepHomes(double now) {
-        int size = table.openCount();
+        int size = table.usableCount();
         int kept = Math.max(HOMES, HOST_GATEWAYS * size / gatewayCount());
         boolean steady = gatewayCount() > STEADY;
         long me = set.gatewayIndex();
         long first = steady ? me * size / gatewayCount() : me * kept % Math.max(1, size);
         List<Endpoint> run = steady && kept >= ARC
-                ? table.arc(set.gatewayIndex(), HOST_GATEWAYS, gatewayCount(), HOMES)
-                : table.run((int) first, Math.min(kept, size));
-        if (run != homes || surveyedAt == now) coldest = EndpointTable.lastStarted(run);
+                ? table.range().byArc(set.gatewayIndex(), HOST_GATEWAYS, gatewayCount(), HOMES)
+                : table.range().byRank((int) first, Math.min(kept, size));
+        if (run != homes || surveyedAt == now) coldest = latestStarted(run);
         homes = run;
         capacity = size - lost;
     }
 
+    private static Endpoint latestStarted(List<Endpoint> endpoints) {
+        Endpoint latest = null;
+        for (Endpoint endpoint : endpoints) {
+            if (latest == null || endpoint.startedAtMs() > latest.startedAtMs()) latest = endpoint;
+        }
+        return latest;
+    }
+
     /**
      * The best of a few hosts drawn by what each can do; null where none may be used. The best by the few own
      * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
@@ -453,17 +460,17 @@
 
     /** All hosts; of very many some from a drawn one on, among those that an unsure attempt's key allows. */
     private List<Endpoint> others(PendingRequest ask) {
-        boolean keyed =
-                table.openCount() > COMPARED && ask.trafficClass().spec().idempotency() == Idempotency.IDEMPOTENCY_KEY;
+        boolean keyed = table.usableCount() > COMPARED
+                && ask.trafficClass().spec().idempotency() == Idempotency.IDEMPOTENCY_KEY;
         Host ran = keyed && ask.firstThatMayHaveRun() != null
                 ? ask.firstThatMayHaveRun().endpoint().host()
                 : null;
-        Collection<RankedEndpoints> legal = table.open(
-                ran,
-                ran == null ? DeduplicationScope.ALL : ask.trafficClass().spec().deduplicationScope());
+        Collection<RankedEndpoints> legal = ran == null
+                ? table.usable()
+                : table.usableSharing(ask.trafficClass().spec().deduplicationScope(), ran);
         int count = legal.stream().mapToInt(RankedEndpoints::size).sum();
         int from = count > COMPARED ? random.nextInt(count) : 0;
-        return EndpointTable.round(legal, from, Math.min(COMPARED, count));
+        return RankedEndpoints.copyCircular(legal, from, Math.min(COMPARED, count));
     }
 
     /**
--- a/src/test/java/caperrudder/policy/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/EndpointTableTest.java
@@ -52,7 +52,7 @@
     }
 
     private static List<String> open(FakeGateway g) {
-        return ids(EndpointTable.round(g.brain.table.open(null, DeduplicationScope.ALL), 0, g.brain.table.openCount()));
+        return ids(RankedEndpoints.copyCircular(g.brain.table.usable(), 0, g.brain.table.usableCount()));
     }
 
     /** What every gateway once did at each change: walk, copy and sort all hosts. */
@@ -240,8 +240,10 @@
         assertEquals(List.of("b"), open(g));
         assertEquals(1, g.brain.clusterHealth(g.now).size());
         EndpointTable table = g.brain.table;
-        assertEquals(0, table.open(a, DeduplicationScope.ZONE).size());
-        assertEquals(1, table.open(host("c", "z2", 2), DeduplicationScope.CELL).size());
+        assertEquals(0, table.usableSharing(DeduplicationScope.ZONE, a).size());
+        assertEquals(
+                1,
+                table.usableSharing(DeduplicationScope.CELL, host("c", "z2", 2)).size());
         g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(gone, a));
         assertEquals(List.of("a", "b"), open(g));
         g.brain.hostsUpdated(g.now, HostListKind.FULL, List.of(a));
@@ -319,9 +321,9 @@
                         .toList());
         List<Double> touched = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            long before = g.brain.table.touched();
+            long before = g.brain.table.visited();
             g.ask("r" + i, "read");
-            touched.add((double) (g.brain.table.touched() - before));
+            touched.add((double) (g.brain.table.visited() - before));
             assertEquals(1, g.sends("r" + i));
             g.end("r" + i, 0, Outcome.OK, 5);
         }
@@ -334,7 +336,7 @@
         FakeGateway g = oneOfMany(hosts(count));
         Random random = new Random(1);
         int changes = 4000;
-        long before = g.brain.table.touched();
+        long before = g.brain.table.visited();
         for (int i = 0; i < changes / 2; i++) {
             int number = random.nextInt(count);
             g.brain.hostsUpdated(
@@ -344,7 +346,7 @@
             g.brain.hostsUpdated(
                     g.now, HostListKind.CHANGES, List.of(FakeGateway.host("h" + number, "z" + number % 4)));
         }
-        return (g.brain.table.touched() - before) / (double) changes;
+        return (g.brain.table.visited() - before) / (double) changes;
     }
 
     @Test
@@ -358,9 +360,9 @@
     void anIdleSecondCostsWhatTheGatewayKeepsTo() {
         FakeGateway g = oneOfMany(hosts(160_000));
         g.pass(20_000);
-        long before = g.brain.table.touched();
+        long before = g.brain.table.visited();
         g.pass(1000);
-        long touched = g.brain.table.touched() - before;
+        long touched = g.brain.table.visited() - before;
         assertTrue(touched <= 4L * g.brain.homes.size(), touched + " for " + g.brain.homes.size() + " homes");
     }
 }
