--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -53,10 +53,6 @@
     private static final double SILENT_AFTER = 5; // expected times, and
     private static final double QUIET_MS = 400; // so much, after which it is overdue
     private static final double ZONE_COST = 0.05; // crossing zones, as share of the score of an idle host
-    private static final int HOMES = 8; // hosts a gateway keeps to, while they serve; more
-    private static final int HOST_GATEWAYS = 6; // where a host would have fewer gateways than this
-    private static final int STEADY = 100; // gateways: of more, homes stay where other hosts come and go
-    private static final int ARC = 64; // hosts from which an arc of a ring holds nearly as many as any other
     private static final int COMPARED = 1024; // hosts compared at most where no home may be used
     private static final int DRAWS = 2; // hosts compared at least; more where own counts can tell them apart
     private static final double SURVEY_MS = 500; // how often the hosts are counted
@@ -69,8 +65,7 @@
     private final Map<String, PendingRequest> asks = new LinkedHashMap<>();
     private final Map<Endpoint, LinkedHashSet<Attempt>> atWork = new LinkedHashMap<>();
     EndpointTable table;
-    List<Endpoint> homes = List.of();
-    private Endpoint coldest; // of the homes: the one that started last
+    EndpointSubset subset;
     private QuotaTable quotas;
     private QuotaGossip gossip;
     private AdmissionControl admission;
@@ -80,7 +75,6 @@
     private LoadReports loadReports;
     private OutlierDetector outliers;
     private double sweptAt, surveyedAt;
-    double capacity;
     private double lost; // what cold and bad hosts can't do of it, as last counted
     private final OverdueShare lateness = new OverdueShare();
     private EventLoopStalls stalls;
@@ -99,7 +93,8 @@
         quotas = new QuotaTable(now, settings, ownership);
         gossip = new QuotaGossip(now, settings, quotas, ownership, act);
         admission = new AdmissionControl(settings, quotas, ownership, gossip, lateness::share);
-        table = new EndpointTable(new EndpointOrder(gatewayCount() > STEADY));
+        table = new EndpointTable(EndpointSubset.orderFor(gatewayCount()));
+        subset = new EndpointSubset(table, settings.gatewayIndex(), gatewayCount());
         slowStart = new SlowStart(settings.rules());
         loadReports = new LoadReports(settings.loadReportFields(), slowStart);
         outliers = new OutlierDetector(settings.classes());
@@ -125,12 +120,13 @@
             if (h.startedMs() > 0 && h.startedMs() > s.startedAtMs()) {
                 s.restarted(h.startedMs(), random.nextDouble()); // or all gateways' first ones would come together
                 if (slowStart.isWarmingUp(s, now)) outliers.observe(s);
-                if (coldest == null || s.startedAtMs() > coldest.startedAtMs()) coldest = s; // till counted
+                subset.noteStarted(s);
             }
         }
         if (kind != HostListKind.CHANGES) table.endFullList();
         // Of many hosts a few cold ones more or less may wait for the next beat.
-        if (kind == HostListKind.CHANGES && hosts.size() < table.usableCount() / COMPARED) keepHomes(now);
+        if (kind == HostListKind.CHANGES && hosts.size() < table.usableCount() / COMPARED)
+            subset.refresh(surveyedAt == now);
         else survey(now);
         release(now);
     }
@@ -323,7 +319,7 @@
 
     /** Dispatches what may leave now. */
     private void release(double now) {
-        scheduler.dispatch(now, limit.slots(capacity));
+        scheduler.dispatch(now, limit.slots(capacity()));
     }
 
     private final class AttemptDispatcher implements Dispatcher<PendingRequest, Endpoint> {
@@ -405,39 +401,17 @@
 
     // ---- hosts
 
+    /** What the hosts in use can do, in warm healthy hosts. */
+    double capacity() {
+        return table.usableCount() - lost;
+    }
+
     /** Counts what the hosts in use can do, so that each event needs only look-ups. */
     private void survey(double now) {
         surveyedAt = now;
         outliers.forgetIf(s -> s.isUntried() && !slowStart.isWarmingUp(s, now));
         lost = outliers.missingCapacity(now, slowStart);
-        keepHomes(now);
-    }
-
-    /**
-     * Each gateway keeps to some hosts, in turn with the others: more answers and warm connections at each,
-     * and tables that do not fill where there are hundreds of gateways. Of many each has an arc of a ring: a
-     * host that comes is a home more for those whose arcs it lies in. Few hosts would lie there unevenly.
-     */
-    private void keepHomes(double now) {
-        int size = table.usableCount();
-        int kept = Math.max(HOMES, HOST_GATEWAYS * size / gatewayCount());
-        boolean steady = gatewayCount() > STEADY;
-        long me = set.gatewayIndex();
-        long first = steady ? me * size / gatewayCount() : me * kept % Math.max(1, size);
-        List<Endpoint> run = steady && kept >= ARC
-                ? table.range().byArc(set.gatewayIndex(), HOST_GATEWAYS, gatewayCount(), HOMES)
-                : table.range().byRank((int) first, Math.min(kept, size));
-        if (run != homes || surveyedAt == now) coldest = latestStarted(run);
-        homes = run;
-        capacity = size - lost;
-    }
-
-    private static Endpoint latestStarted(List<Endpoint> endpoints) {
-        Endpoint latest = null;
-        for (Endpoint endpoint : endpoints) {
-            if (latest == null || endpoint.startedAtMs() > latest.startedAtMs()) latest = endpoint;
-        }
-        return latest;
+        subset.refresh(surveyedAt == now);
     }
 
     /**
@@ -446,9 +420,9 @@
      * attempts out can tell apart, and where that is all of them, all.
      */
     private Endpoint pick(double now, PendingRequest ask) {
-        int draws = Math.min(homes.size(), DRAWS + 2 * limit.inUse());
-        Endpoint best = best(now, ask, ownCounts() ? homes : drawn(now, ask.trafficClass(), draws), false);
-        boolean warm = coldest == null || !slowStart.isWarmingUp(coldest, now);
+        int draws = Math.min(subset.endpoints().size(), DRAWS + 2 * limit.inUse());
+        Endpoint best = best(now, ask, ownCounts() ? subset.endpoints() : drawn(now, ask.trafficClass(), draws), false);
+        boolean warm = subset.isWarm(slowStart, now);
         if (warm) random.nextDouble(); // the draw that no cold host would win
         Endpoint cold = warm ? null : coldInTurn(now, ask);
         if (cold != null && (best == null || cold.isIdle())) return cold;
@@ -481,10 +455,10 @@
      */
     private Endpoint coldInTurn(double now, PendingRequest ask) {
         double left = random.nextDouble()
-                * homes.stream()
+                * subset.endpoints().stream()
                         .mapToDouble(s -> able(now, s, ask.trafficClass()))
                         .sum();
-        for (Endpoint s : homes) {
+        for (Endpoint s : subset.endpoints()) {
             left -= able(now, s, ask.trafficClass());
             if (left > 0) continue;
             if (!slowStart.isWarmingUp(s, now) || !legal(now, ask, ask.firstThatMayHaveRun(), s)) return null;
@@ -502,13 +476,14 @@
     }
 
     private boolean ownCounts() {
-        return DRAWS + 2 * limit.inUse() >= homes.size();
+        return DRAWS + 2 * limit.inUse() >= subset.endpoints().size();
     }
 
     private Collection<Endpoint> drawn(double now, TrafficClass c, int draws) {
         LinkedHashSet<Endpoint> drawn = new LinkedHashSet<>();
         for (int i = 0; i < draws * SCAN && drawn.size() < draws; i++) {
-            Endpoint s = homes.get(random.nextInt(homes.size()));
+            Endpoint s =
+                    subset.endpoints().get(random.nextInt(subset.endpoints().size()));
             if (random.nextDouble() * s.latencyPenalty(now, c.spec().name()) <= 1) drawn.add(s);
         }
         return drawn;
--- a/src/test/java/caperrudder/policy/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/EndpointTableTest.java
@@ -155,8 +155,8 @@
     private static void compare(WalkedHosts walked, FakeGateway g, int me, int n) {
         walked.survey(g.now, g, me, n);
         assertEquals(walked.usable, open(g));
-        assertEquals(walked.homes, ids(g.brain.homes));
-        assertEquals(walked.capacity, g.brain.capacity, 1e-9);
+        assertEquals(walked.homes, ids(g.brain.subset.endpoints()));
+        assertEquals(walked.capacity, g.brain.capacity(), 1e-9);
         assertEquals(
                 walked.all.values().stream().filter(WalkedHosts.Known::listed).count(),
                 g.brain.clusterHealth(g.now).size());
@@ -175,7 +175,8 @@
 
     private static Map<String, Integer> keepers(List<FakeGateway> fleet) {
         Map<String, Integer> keepers = new HashMap<>();
-        fleet.forEach(g -> g.brain.homes.forEach(s -> keepers.merge(s.host().id(), 1, Integer::sum)));
+        fleet.forEach(g ->
+                g.brain.subset.endpoints().forEach(s -> keepers.merge(s.host().id(), 1, Integer::sum)));
         return keepers;
     }
 
@@ -185,9 +186,9 @@
     private static Moves change(List<FakeGateway> fleet, Host h) {
         Moves all = new Moves(0, 0, 0, 0);
         for (FakeGateway g : fleet) {
-            Set<String> before = new HashSet<>(ids(g.brain.homes));
+            Set<String> before = new HashSet<>(ids(g.brain.subset.endpoints()));
             g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(h));
-            Set<String> after = new HashSet<>(ids(g.brain.homes));
+            Set<String> after = new HashSet<>(ids(g.brain.subset.endpoints()));
             int gained = (int) after.stream().filter(id -> !before.contains(id)).count();
             int lost = (int) before.stream().filter(id -> !after.contains(id)).count();
             all = new Moves(
@@ -205,8 +206,14 @@
         Map<String, Integer> keepers = keepers(fleet);
         assertEquals(3000, keepers.size());
         assertEquals(Set.of(6), new HashSet<>(keepers.values()));
-        int least = fleet.stream().mapToInt(g -> g.brain.homes.size()).min().orElseThrow();
-        int most = fleet.stream().mapToInt(g -> g.brain.homes.size()).max().orElseThrow();
+        int least = fleet.stream()
+                .mapToInt(g -> g.brain.subset.endpoints().size())
+                .min()
+                .orElseThrow();
+        int most = fleet.stream()
+                .mapToInt(g -> g.brain.subset.endpoints().size())
+                .max()
+                .orElseThrow();
         assertTrue(least >= 45 && most <= 110, least + " to " + most + " homes, 75 on the mean");
         for (int i = 0; i < 20; i++) {
             assertEquals(new Moves(1, 0, 6, 0), change(fleet, FakeGateway.host("new" + i, "z1")));
@@ -279,7 +286,7 @@
         String first = g.hostOf("r");
         g.brain.hostsUpdated(
                 g.now, HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
-        Set<String> homes = Set.copyOf(ids(g.brain.homes));
+        Set<String> homes = Set.copyOf(ids(g.brain.subset.endpoints()));
         String other = hosts.stream()
                 .map(Host::id)
                 .filter(id -> !homes.contains(id) && !id.equals(first))
@@ -288,7 +295,7 @@
         g.end("r", 0, Outcome.ERROR, 5);
         assertEquals(1, g.sends("r")); // none may have the repeat
         g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(host(other, zone, 9)));
-        assertFalse(ids(g.brain.homes).contains(other));
+        assertFalse(ids(g.brain.subset.endpoints()).contains(other));
         assertEquals(2, g.sends("r"));
         assertEquals(other, g.hostOf("r"));
     }
@@ -316,7 +323,7 @@
         g.brain.hostsUpdated(
                 g.now,
                 HostListKind.CHANGES,
-                g.brain.homes.stream()
+                g.brain.subset.endpoints().stream()
                         .map(s -> new Host(s.host().id(), "z1", "std", 0, HostState.RUNNING, 1, g.now))
                         .toList());
         List<Double> touched = new ArrayList<>();
@@ -363,6 +370,8 @@
         long before = g.brain.table.visited();
         g.pass(1000);
         long touched = g.brain.table.visited() - before;
-        assertTrue(touched <= 4L * g.brain.homes.size(), touched + " for " + g.brain.homes.size() + " homes");
+        assertTrue(
+                touched <= 4L * g.brain.subset.endpoints().size(),
+                touched + " for " + g.brain.subset.endpoints().size() + " homes");
     }
 }
