--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -4,7 +4,6 @@
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
-import caperrudder.api.Idempotency;
 import caperrudder.api.Outcome;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
@@ -28,7 +27,6 @@
 import caperrudder.policy.scheduling.TrafficClasses;
 import caperrudder.policy.scheduling.WeightController;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -47,15 +45,9 @@
     private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
     private static final double RESUBSCRIBE_AFTER_MS = 3000; // after a call for the endpoint list failed
     // Waiting requests
-    private static final int SCAN = 16; // held requests passed over for want of a legal host, a turn
-    // Hosts
-    private static final double TROUBLED = 2.2; // slowness from which a host is worse than chance makes it
+    // Attempts
     private static final double SILENT_AFTER = 5; // expected times, and
     private static final double QUIET_MS = 400; // so much, after which it is overdue
-    private static final double ZONE_COST = 0.05; // crossing zones, as share of the score of an idle host
-    private static final int COMPARED = 1024; // hosts compared at most where no home may be used
-    private static final int DRAWS = 2; // hosts compared at least; more where own counts can tell them apart
-    private static final double SURVEY_MS = 500; // how often the hosts are counted
 
     private final PolicyActions act;
     private TrafficClasses classes = TrafficClasses.NONE; // until started
@@ -64,18 +56,12 @@
     private WeightController weights;
     private final Map<String, PendingRequest> asks = new LinkedHashMap<>();
     private final Map<Endpoint, LinkedHashSet<Attempt>> atWork = new LinkedHashMap<>();
-    EndpointTable table;
-    EndpointSubset subset;
     private QuotaTable quotas;
     private QuotaGossip gossip;
     private AdmissionControl admission;
     private Settings set;
-    private Random random;
-    private SlowStart slowStart;
-    private LoadReports loadReports;
-    private OutlierDetector outliers;
-    private double sweptAt, surveyedAt;
-    private double lost; // what cold and bad hosts can't do of it, as last counted
+    private LoadBalancer loadBalancer;
+    private double sweptAt;
     private final OverdueShare lateness = new OverdueShare();
     private EventLoopStalls stalls;
     private RetryPolicy retries;
@@ -88,21 +74,16 @@
     @Override
     public void start(double now, Settings settings) {
         set = settings;
-        random = new Random(settings.seed());
         QuotaOwnership ownership = new QuotaOwnership(now, settings);
         quotas = new QuotaTable(now, settings, ownership);
         gossip = new QuotaGossip(now, settings, quotas, ownership, act);
         admission = new AdmissionControl(settings, quotas, ownership, gossip, lateness::share);
-        table = new EndpointTable(EndpointSubset.orderFor(gatewayCount()));
-        subset = new EndpointSubset(table, settings.gatewayIndex(), gatewayCount());
-        slowStart = new SlowStart(settings.rules());
-        loadReports = new LoadReports(settings.loadReportFields(), slowStart);
-        outliers = new OutlierDetector(settings.classes());
+        loadBalancer = new LoadBalancer(now, settings, new Random(settings.seed()));
         classes = new TrafficClasses(settings);
         limit = new ConcurrencyLimit(now, gatewayCount(), classes.all());
         scheduler = new FairScheduler<>(classes.all(), limit, new AttemptDispatcher());
         weights = new WeightController(now, classes.all(), limit);
-        sweptAt = surveyedAt = now;
+        sweptAt = now;
         stalls = new EventLoopStalls(now, TICK_MS);
         retries = new RetryPolicy(settings.limits());
         retryAfter = new RetryAfter(settings.limits());
@@ -114,20 +95,7 @@
     public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
         if (kind == HostListKind.FAILED) act.startTimer(RESUBSCRIBE_AFTER_MS, "watch");
         if (kind == HostListKind.FAILED) return;
-        if (kind != HostListKind.CHANGES) table.beginFullList();
-        for (Host h : hosts) {
-            Endpoint s = table.put(h);
-            if (h.startedMs() > 0 && h.startedMs() > s.startedAtMs()) {
-                s.restarted(h.startedMs(), random.nextDouble()); // or all gateways' first ones would come together
-                if (slowStart.isWarmingUp(s, now)) outliers.observe(s);
-                subset.noteStarted(s);
-            }
-        }
-        if (kind != HostListKind.CHANGES) table.endFullList();
-        // Of many hosts a few cold ones more or less may wait for the next beat.
-        if (kind == HostListKind.CHANGES && hosts.size() < table.usableCount() / COMPARED)
-            subset.refresh(surveyedAt == now);
-        else survey(now);
+        loadBalancer.hostsUpdated(now, kind, hosts);
         release(now);
     }
 
@@ -268,7 +236,7 @@
         noteStall(now);
         expire(now);
         gossip.checkOverdueReplies(now);
-        if (now - surveyedAt >= SURVEY_MS) survey(now);
+        loadBalancer.refreshIfDue(now);
         watchHealth(now);
         limit.adapt(now);
         weights.update(now);
@@ -286,12 +254,13 @@
     /** Avoided is what the list says not to use, and what has done so badly that others come before it. */
     @Override
     public ClusterHealth clusterHealth(double now) {
-        return new ClusterHealth(table.listedCount(), table.unusableCount() + outliers.ejectedCount(now));
+        return loadBalancer.clusterHealth(now);
     }
 
     @Override
     public Snapshot takeSnapshot(double now) {
-        return new Snapshot(now, limit.perHost(), quotas.snapshot(now), outliers.takeSnapshot(), classes.snapshot());
+        return new Snapshot(
+                now, limit.perHost(), quotas.snapshot(now), loadBalancer.takeSnapshot(), classes.snapshot());
     }
 
     /** Before the first request all is taken over; from then on only what the other process still uses. */
@@ -300,7 +269,7 @@
         for (QuotaSnapshot b : books.quotas()) quotas.restore(now, books.takenAtMs(), b);
         if (!asks.isEmpty() || classes.haveSamples()) return;
         limit.restore(books.concurrencyPerHost());
-        outliers.restore(now, books.health(), table);
+        loadBalancer.restore(now, books.health());
         classes.restore(books.classes());
     }
 
@@ -317,15 +286,20 @@
         if (gossip != null) gossip.receive(now, peer, data); // before the start no peer is known
     }
 
+    /** For tests. */
+    LoadBalancer loadBalancer() {
+        return loadBalancer;
+    }
+
     /** Dispatches what may leave now. */
     private void release(double now) {
-        scheduler.dispatch(now, limit.slots(capacity()));
+        scheduler.dispatch(now, limit.slots(loadBalancer.capacity()));
     }
 
     private final class AttemptDispatcher implements Dispatcher<PendingRequest, Endpoint> {
         @Override
         public Endpoint findDestination(double now, PendingRequest request) {
-            return pick(now, request);
+            return loadBalancer.pick(now, placement(now, request));
         }
 
         @Override
@@ -342,7 +316,7 @@
             ask.trafficClass().noteHold(now - ask.arrivedAt());
             if (ask.quota() != null) ask.quota().sent(ask.units());
         }
-        outliers.observe(s);
+        loadBalancer.attemptSent(s);
         if (!ask.isBodyPending()) place(now, a);
         act.sendAttempt(ask.id(), s.host().id(), 0);
     }
@@ -351,7 +325,7 @@
     private void place(double now, Attempt a) {
         if (a.isWorking()) return;
         a.beginWork(now, stalls.totalMs());
-        a.endpoint().startAttempt(a.expectedWorkMs());
+        loadBalancer.attemptStarted(a.endpoint(), a.expectedWorkMs());
         atWork.computeIfAbsent(a.endpoint(), s -> new LinkedHashSet<>(4)).add(a);
         limit.acquire();
     }
@@ -360,9 +334,10 @@
         if (!a.isWorking()) return;
         a.endWork();
         limit.release();
-        a.endpoint().finishAttempt(a.expectedWorkMs());
-        atWork.get(a.endpoint()).remove(a);
-        if (a.endpoint().isIdle()) atWork.remove(a.endpoint());
+        loadBalancer.attemptFinished(a.endpoint(), a.expectedWorkMs());
+        LinkedHashSet<Attempt> atEndpoint = atWork.get(a.endpoint());
+        atEndpoint.remove(a);
+        if (atEndpoint.isEmpty()) atWork.remove(a.endpoint());
     }
 
     private void expire(double now) {
@@ -399,137 +374,29 @@
         }
     }
 
-    // ---- hosts
-
-    /** What the hosts in use can do, in warm healthy hosts. */
-    double capacity() {
-        return table.usableCount() - lost;
-    }
-
-    /** Counts what the hosts in use can do, so that each event needs only look-ups. */
-    private void survey(double now) {
-        surveyedAt = now;
-        outliers.forgetIf(s -> s.isUntried() && !slowStart.isWarmingUp(s, now));
-        lost = outliers.missingCapacity(now, slowStart);
-        subset.refresh(surveyedAt == now);
-    }
-
-    /**
-     * The best of a few hosts drawn by what each can do; null where none may be used. The best by the few own
-     * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
-     * attempts out can tell apart, and where that is all of them, all.
-     */
-    private Endpoint pick(double now, PendingRequest ask) {
-        int draws = Math.min(subset.endpoints().size(), DRAWS + 2 * limit.inUse());
-        Endpoint best = best(now, ask, ownCounts() ? subset.endpoints() : drawn(now, ask.trafficClass(), draws), false);
-        boolean warm = subset.isWarm(slowStart, now);
-        if (warm) random.nextDouble(); // the draw that no cold host would win
-        Endpoint cold = warm ? null : coldInTurn(now, ask);
-        if (cold != null && (best == null || cold.isIdle())) return cold;
-        if (best != null) return best;
-        best = best(now, ask, others(ask), true);
-        if (best != null) slowStart.chargeRequest(best); // that was its turn
-        return best;
-    }
-
-    /** All hosts; of very many some from a drawn one on, among those that an unsure attempt's key allows. */
-    private List<Endpoint> others(PendingRequest ask) {
-        boolean keyed = table.usableCount() > COMPARED
-                && ask.trafficClass().spec().idempotency() == Idempotency.IDEMPOTENCY_KEY;
-        Host ran = keyed && ask.firstThatMayHaveRun() != null
-                ? ask.firstThatMayHaveRun().endpoint().host()
-                : null;
-        Collection<RankedEndpoints> legal = ran == null
-                ? table.usable()
-                : table.usableSharing(ask.trafficClass().spec().deduplicationScope(), ran);
-        int count = legal.stream().mapToInt(RankedEndpoints::size).sum();
-        int from = count > COMPARED ? random.nextInt(count) : 0;
-        return RankedEndpoints.copyCircular(legal, from, Math.min(COMPARED, count));
-    }
-
-    /**
-     * A cold host whose turn it is by what it can do, or null where it is a warm one's. Its own counts tell a
-     * gateway of many nothing of how full the warm hosts are: by score alone the cold ones would stay idle.
-     * A cold one saves up for each request instead of being drawn for it: the sum of many gateways' chances
-     * soon exceeds the few that it bears (rule 4).
-     */
-    private Endpoint coldInTurn(double now, PendingRequest ask) {
-        double left = random.nextDouble()
-                * subset.endpoints().stream()
-                        .mapToDouble(s -> able(now, s, ask.trafficClass()))
-                        .sum();
-        for (Endpoint s : subset.endpoints()) {
-            left -= able(now, s, ask.trafficClass());
-            if (left > 0) continue;
-            if (!slowStart.isWarmingUp(s, now) || !legal(now, ask, ask.firstThatMayHaveRun(), s)) return null;
-            return slowStart.earnsRequest(s, now) ? s : null;
-        }
-        return null;
-    }
-
-    private double able(double now, Endpoint s, TrafficClass c) {
-        return s.isUsable()
-                ? loadReports.correction(now, s)
-                        * slowStart.capacity(s, now)
-                        / Math.max(1, s.latencyPenalty(now, c.spec().name()))
-                : 0;
-    }
+    // ---- attempts
 
-    private boolean ownCounts() {
-        return DRAWS + 2 * limit.inUse() >= subset.endpoints().size();
-    }
-
-    private Collection<Endpoint> drawn(double now, TrafficClass c, int draws) {
-        LinkedHashSet<Endpoint> drawn = new LinkedHashSet<>();
-        for (int i = 0; i < draws * SCAN && drawn.size() < draws; i++) {
-            Endpoint s =
-                    subset.endpoints().get(random.nextInt(subset.endpoints().size()));
-            if (random.nextDouble() * s.latencyPenalty(now, c.spec().name()) <= 1) drawn.add(s);
-        }
-        return drawn;
-    }
-
-    private Endpoint best(double now, PendingRequest ask, Collection<Endpoint> among, boolean colds) {
-        Endpoint best = null;
-        double bestScore = Double.MAX_VALUE;
-        for (Endpoint s : among) {
-            if (!s.isUsable() || !legal(now, ask, ask.firstThatMayHaveRun(), s)) continue;
-            // A cold host has its turns beside; where there is no other, it takes part seldom (rule 4).
-            boolean cold = slowStart.isWarmingUp(s, now);
-            if (cold && (!colds || random.nextDouble() * among.size() > slowStart.allowedShare(s, now))) continue;
-            double score = score(now, ask, s) * (1 + 1e-3 * random.nextDouble());
-            if (score < bestScore) best = s;
-            bestScore = Math.min(bestScore, score);
-        }
-        return best;
-    }
-
-    private double score(double now, PendingRequest ask, Endpoint s) {
-        double doubt = s.latencyPenalty(now, ask.trafficClass().spec().name());
-        if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
-        for (Attempt a : ask.attempts()) {
-            if (a.endpoint() == s) doubt *= OutlierScore.EJECTION_PENALTY;
-        }
-        // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !ownCounts() || s.host().zone().equals(set.zone()) ? 0 : ZONE_COST * ask.expectedWorkMs();
-        return (ask.expectedWorkMs() + s.outstandingWorkMs()) * doubt / slowStart.capacity(s, now) + zone;
+    private PlacementRequest placement(double now, PendingRequest ask) {
+        Attempt first = ask.firstThatMayHaveRun();
+        return new PlacementRequest(
+                ask.trafficClass().spec(),
+                ask.expectedWorkMs(),
+                retries.isRepeatable(now, ask),
+                first == null ? null : first.endpoint().host(),
+                endpointsOf(ask.attempts()));
     }
 
-    /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
-    private boolean legal(double now, PendingRequest ask, Attempt ran, Endpoint s) {
-        return retries.isRepeatable(now, ask)
-                && (ran == null
-                        || ask.trafficClass().spec().idempotency() != Idempotency.IDEMPOTENCY_KEY
-                        || ask.trafficClass()
-                                .spec()
-                                .deduplicationScope()
-                                .isSharedBy(s.host(), ran.endpoint().host()));
+    private static List<Endpoint> endpointsOf(List<Attempt> attempts) {
+        if (attempts.isEmpty()) return List.of();
+        List<Endpoint> endpoints = new ArrayList<>(attempts.size());
+        for (Attempt attempt : attempts) endpoints.add(attempt.endpoint());
+        return endpoints;
     }
 
     private void learn(double now, PendingRequest ask, Attempt a, AttemptResult r) {
         Endpoint s = a.endpoint();
         TrafficClass c = ask.trafficClass();
-        outliers.recordResult(now, s, c.spec(), a.expectedWorkMs(), r);
+        loadBalancer.recordResult(now, s, c.spec(), a.expectedWorkMs(), r);
         if (r.outcome() == Outcome.OK) {
             c.noteServed(r.latencyMs(), now - ask.arrivedAt(), ask.units());
             lateness.note(now - ask.arrivedAt() > c.spec().latencyObjectiveMs());
@@ -537,7 +404,6 @@
                 ask.quota().charge(r.trueUnits() - ask.units());
             }
         }
-        loadReports.record(now, s, r.loadReport());
         if (r.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
         if (r.outcome() == Outcome.OK) {
             double baseMs = c.latency().baseMs(ask.units());
@@ -553,7 +419,7 @@
                 double waited = a.elapsedMs(now, stalls.totalMs());
                 if (a.isOverdue() || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
                 a.markOverdue();
-                outliers.recordOverdue(now, s, a.request().trafficClass().spec());
+                loadBalancer.recordOverdue(now, s, a.request().trafficClass().spec());
                 if (retries.shouldCancel(now, a)) act.cancelAttempt(a.request().id(), a.number());
             }
         }
@@ -567,6 +433,6 @@
         if (now - sweptAt < SWEEP_MS) return;
         sweptAt = now;
         quotas.forgetIdle(now, gossip::release);
-        table.removeUnlisted(outliers::forget);
+        loadBalancer.removeUnlisted();
     }
 }
--- a/src/test/java/caperrudder/policy/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/EndpointTableTest.java
@@ -52,7 +52,8 @@
     }
 
     private static List<String> open(FakeGateway g) {
-        return ids(RankedEndpoints.copyCircular(g.brain.table.usable(), 0, g.brain.table.usableCount()));
+        return ids(RankedEndpoints.copyCircular(
+                g.loadBalancer().table().usable(), 0, g.loadBalancer().table().usableCount()));
     }
 
     /** What every gateway once did at each change: walk, copy and sort all hosts. */
@@ -80,7 +81,8 @@
 
         void survey(double now, FakeGateway g, int me, int gateways) {
             all.values()
-                    .removeIf(k -> !k.listed() && g.brain.table.find(k.info().id()) == null); // forgotten
+                    .removeIf(k -> !k.listed()
+                            && g.loadBalancer().table().find(k.info().id()) == null); // forgotten
             List<Known> open = all.values().stream()
                     .filter(k -> k.listed() && k.info().state() == HostState.RUNNING)
                     .sorted(Comparator.<Known>comparingInt(k -> k.info().id().hashCode())
@@ -88,7 +90,8 @@
                     .toList();
             usable = open.stream().map(k -> k.info().id()).toList();
             capacity = open.stream()
-                    .mapToDouble(k -> penalty(now, g.brain.table.find(k.info().id())) < 4 ? ramp(now, k.coldAt()) : 0)
+                    .mapToDouble(k ->
+                            penalty(now, g.loadBalancer().table().find(k.info().id())) < 4 ? ramp(now, k.coldAt()) : 0)
                     .sum();
             homes.clear();
             int kept = Math.max(8, 6 * usable.size() / gateways);
@@ -155,8 +158,8 @@
     private static void compare(WalkedHosts walked, FakeGateway g, int me, int n) {
         walked.survey(g.now, g, me, n);
         assertEquals(walked.usable, open(g));
-        assertEquals(walked.homes, ids(g.brain.subset.endpoints()));
-        assertEquals(walked.capacity, g.brain.capacity(), 1e-9);
+        assertEquals(walked.homes, ids(g.loadBalancer().subset()));
+        assertEquals(walked.capacity, g.loadBalancer().capacity(), 1e-9);
         assertEquals(
                 walked.all.values().stream().filter(WalkedHosts.Known::listed).count(),
                 g.brain.clusterHealth(g.now).size());
@@ -176,7 +179,7 @@
     private static Map<String, Integer> keepers(List<FakeGateway> fleet) {
         Map<String, Integer> keepers = new HashMap<>();
         fleet.forEach(g ->
-                g.brain.subset.endpoints().forEach(s -> keepers.merge(s.host().id(), 1, Integer::sum)));
+                g.loadBalancer().subset().forEach(s -> keepers.merge(s.host().id(), 1, Integer::sum)));
         return keepers;
     }
 
@@ -186,9 +189,9 @@
     private static Moves change(List<FakeGateway> fleet, Host h) {
         Moves all = new Moves(0, 0, 0, 0);
         for (FakeGateway g : fleet) {
-            Set<String> before = new HashSet<>(ids(g.brain.subset.endpoints()));
+            Set<String> before = new HashSet<>(ids(g.loadBalancer().subset()));
             g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(h));
-            Set<String> after = new HashSet<>(ids(g.brain.subset.endpoints()));
+            Set<String> after = new HashSet<>(ids(g.loadBalancer().subset()));
             int gained = (int) after.stream().filter(id -> !before.contains(id)).count();
             int lost = (int) before.stream().filter(id -> !after.contains(id)).count();
             all = new Moves(
@@ -207,11 +210,11 @@
         assertEquals(3000, keepers.size());
         assertEquals(Set.of(6), new HashSet<>(keepers.values()));
         int least = fleet.stream()
-                .mapToInt(g -> g.brain.subset.endpoints().size())
+                .mapToInt(g -> g.loadBalancer().subset().size())
                 .min()
                 .orElseThrow();
         int most = fleet.stream()
-                .mapToInt(g -> g.brain.subset.endpoints().size())
+                .mapToInt(g -> g.loadBalancer().subset().size())
                 .max()
                 .orElseThrow();
         assertTrue(least >= 45 && most <= 110, least + " to " + most + " homes, 75 on the mean");
@@ -246,7 +249,7 @@
         g.brain.hostsUpdated(g.now, HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
         assertEquals(List.of("b"), open(g));
         assertEquals(1, g.brain.clusterHealth(g.now).size());
-        EndpointTable table = g.brain.table;
+        EndpointTable table = g.loadBalancer().table();
         assertEquals(0, table.usableSharing(DeduplicationScope.ZONE, a).size());
         assertEquals(
                 1,
@@ -286,7 +289,7 @@
         String first = g.hostOf("r");
         g.brain.hostsUpdated(
                 g.now, HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
-        Set<String> homes = Set.copyOf(ids(g.brain.subset.endpoints()));
+        Set<String> homes = Set.copyOf(ids(g.loadBalancer().subset()));
         String other = hosts.stream()
                 .map(Host::id)
                 .filter(id -> !homes.contains(id) && !id.equals(first))
@@ -295,7 +298,7 @@
         g.end("r", 0, Outcome.ERROR, 5);
         assertEquals(1, g.sends("r")); // none may have the repeat
         g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(host(other, zone, 9)));
-        assertFalse(ids(g.brain.subset.endpoints()).contains(other));
+        assertFalse(ids(g.loadBalancer().subset()).contains(other));
         assertEquals(2, g.sends("r"));
         assertEquals(other, g.hostOf("r"));
     }
@@ -323,14 +326,14 @@
         g.brain.hostsUpdated(
                 g.now,
                 HostListKind.CHANGES,
-                g.brain.subset.endpoints().stream()
+                g.loadBalancer().subset().stream()
                         .map(s -> new Host(s.host().id(), "z1", "std", 0, HostState.RUNNING, 1, g.now))
                         .toList());
         List<Double> touched = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            long before = g.brain.table.visited();
+            long before = g.loadBalancer().table().visited();
             g.ask("r" + i, "read");
-            touched.add((double) (g.brain.table.visited() - before));
+            touched.add((double) (g.loadBalancer().table().visited() - before));
             assertEquals(1, g.sends("r" + i));
             g.end("r" + i, 0, Outcome.OK, 5);
         }
@@ -343,7 +346,7 @@
         FakeGateway g = oneOfMany(hosts(count));
         Random random = new Random(1);
         int changes = 4000;
-        long before = g.brain.table.visited();
+        long before = g.loadBalancer().table().visited();
         for (int i = 0; i < changes / 2; i++) {
             int number = random.nextInt(count);
             g.brain.hostsUpdated(
@@ -353,7 +356,7 @@
             g.brain.hostsUpdated(
                     g.now, HostListKind.CHANGES, List.of(FakeGateway.host("h" + number, "z" + number % 4)));
         }
-        return (g.brain.table.visited() - before) / (double) changes;
+        return (g.loadBalancer().table().visited() - before) / (double) changes;
     }
 
     @Test
@@ -367,11 +370,11 @@
     void anIdleSecondCostsWhatTheGatewayKeepsTo() {
         FakeGateway g = oneOfMany(hosts(160_000));
         g.pass(20_000);
-        long before = g.brain.table.visited();
+        long before = g.loadBalancer().table().visited();
         g.pass(1000);
-        long touched = g.brain.table.visited() - before;
+        long touched = g.loadBalancer().table().visited() - before;
         assertTrue(
-                touched <= 4L * g.brain.subset.endpoints().size(),
-                touched + " for " + g.brain.subset.endpoints().size() + " homes");
+                touched <= 4L * g.loadBalancer().subset().size(),
+                touched + " for " + g.loadBalancer().subset().size() + " homes");
     }
 }
--- a/src/test/java/caperrudder/policy/FakeGateway.java
+++ b/src/test/java/caperrudder/policy/FakeGateway.java
@@ -99,6 +99,10 @@
                 new Sharing(false, 0, 1000, false, 4, 0, 0, 0, 0));
     }
 
+    LoadBalancer loadBalancer() {
+        return brain.loadBalancer();
+    }
+
     static FakeGateway alone() {
         return new FakeGateway(1000, settings(0, 1));
     }
