--- a/src/test/java/caperrudder/policy/TrueUse.java
+++ b/src/test/java/caperrudder/policy/ActualUse.java
@@ -5,13 +5,13 @@
 import java.util.TreeMap;
 
 /** What all gateways together have let in of one customer: the state that counts, and how it stood before. */
-final class TrueUse {
+final class ActualUse {
     private final Plan plan;
     private final TreeMap<Double, Double> levels = new TreeMap<>();
     private final TreeMap<Double, Integer> outs = new TreeMap<>();
     private final TreeMap<Double, Double> units = new TreeMap<>();
 
-    TrueUse(Plan plan) {
+    ActualUse(Plan plan) {
         this.plan = plan;
         levels.put(0.0, plan.burstUnits());
         outs.put(0.0, 0);
@@ -58,14 +58,15 @@
 
     /** What the meter tells: 1 + use in the last finished period whose figure has come, in percent of the quota. */
     int metered(double now) {
-        double end = Math.floor((now - QuotaWorld.LATE_MS) / QuotaWorld.PERIOD_MS) * QuotaWorld.PERIOD_MS;
-        double begin = end - QuotaWorld.PERIOD_MS;
+        double end =
+                Math.floor((now - QuotaSimulation.LATE_MS) / QuotaSimulation.PERIOD_MS) * QuotaSimulation.PERIOD_MS;
+        double begin = end - QuotaSimulation.PERIOD_MS;
         if (end <= 0) return 1;
         if (plan.unitsPerSecond() > 0) {
             double used = units.subMap(begin, end).values().stream()
                     .mapToDouble(u -> u)
                     .sum();
-            return 1 + (int) (100 * used * 1000 / QuotaWorld.PERIOD_MS / plan.unitsPerSecond());
+            return 1 + (int) (100 * used * 1000 / QuotaSimulation.PERIOD_MS / plan.unitsPerSecond());
         }
         int peak =
                 outs.subMap(begin, end).values().stream().mapToInt(o -> o).max().orElse(0);
--- a/src/test/java/caperrudder/policy/LoadedQuotaWorld.java
+++ b/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
@@ -21,7 +21,7 @@
  * Customers, the true state of their quotas and a late meter, before hosts whose answers slow with what is out.
  * Clients that are refused come again. So what is let in beyond a quota also costs those inside it time.
  */
-final class LoadedQuotaWorld {
+final class LoadedQuotaSimulation {
     private static final double BEAT_MS = 20;
     private static final double HONOURS = 0.7; // share of the clients that wait as long as a refusal tells
     private static final double BACKOFF_MS = 150; // the longest of the shortest own waits of a client; doubles
@@ -54,7 +54,7 @@
     }
 
     /** Decides on the tries of clients: it sends or refuses each through the world, at once or later. */
-    interface Policy {
+    interface Gateways {
         void arrives(double now, Client client);
 
         void ended(double now, Client client, double latencyMs, int usedPercent);
@@ -66,7 +66,7 @@
 
     /** A client with one request, over all of its tries. */
     static final class Client {
-        final QuotaWorld.Try first;
+        final QuotaSimulation.ClientRequest first;
         final RequestClass requestClass;
         final double workMs;
         int gateway;
@@ -79,7 +79,7 @@
         int attempts; // of the present try
         double sentAt;
 
-        Client(QuotaWorld.Try first, RequestClass requestClass, double workMs) {
+        Client(QuotaSimulation.ClientRequest first, RequestClass requestClass, double workMs) {
             this.first = first;
             this.requestClass = requestClass;
             this.workMs = workMs;
@@ -96,15 +96,15 @@
 
     private final int gateways;
     private final Load load;
-    private final List<QuotaWorld.Try> tries;
+    private final List<QuotaSimulation.ClientRequest> tries;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Map<Long, TrueUse> uses = new HashMap<>();
+    private final Map<Long, ActualUse> uses = new HashMap<>();
     private final Map<String, Client> out = new HashMap<>();
     private final List<Double> times = new ArrayList<>();
-    private LoadedHosts hosts;
+    private QueueingHosts hosts;
     private Random random;
-    private Policy policy;
+    private Gateways policy;
     private long order;
     private double now;
     private double served;
@@ -112,14 +112,14 @@
     private int made;
     private int withRoom;
 
-    LoadedQuotaWorld(int gateways, List<QuotaWorld.Try> tries, Load load) {
+    LoadedQuotaSimulation(int gateways, List<QuotaSimulation.ClientRequest> tries, Load load) {
         this.gateways = gateways;
         this.tries = tries;
         this.load = load;
     }
 
-    private TrueUse use(Client client) {
-        return uses.computeIfAbsent(client.first.customer(), c -> new TrueUse(client.first.plan()));
+    private ActualUse use(Client client) {
+        return uses.computeIfAbsent(client.first.customer(), c -> new ActualUse(client.first.plan()));
     }
 
     private void at(double time, Runnable what) {
@@ -127,11 +127,11 @@
     }
 
     /** Plays all tries, and the further ones of those that are refused. */
-    Result play(Policy decides, long seed) {
+    Result play(Gateways decides, long seed) {
         policy = decides;
         random = new Random(seed);
-        hosts = new LoadedHosts(load.hosts(), load.cores());
-        for (QuotaWorld.Try t : tries) {
+        hosts = new QueueingHosts(load.hosts(), load.cores());
+        for (QuotaSimulation.ClientRequest t : tries) {
             RequestClass requestClass =
                     load.classes().get(random.nextInt(load.classes().size()));
             double workMs = load.workMsPerUnit() * t.units() * (0.6 + 0.8 * random.nextDouble());
@@ -159,18 +159,18 @@
 
     /** What one who sees all first tries would let in, if attempts took their work alone. */
     private double worthInside() {
-        Map<Long, TrueUse> seen = new HashMap<>();
+        Map<Long, ActualUse> seen = new HashMap<>();
         double meanWorth = load.classes().stream()
                 .mapToDouble(RequestClass::priorityWeight)
                 .average()
                 .orElse(1);
         PriorityQueue<Event> ends = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
         double worth = 0;
-        for (QuotaWorld.Try t : tries) {
+        for (QuotaSimulation.ClientRequest t : tries) {
             while (!ends.isEmpty() && ends.peek().at() <= t.at()) {
                 ends.poll().what().run();
             }
-            TrueUse use = seen.computeIfAbsent(t.customer(), c -> new TrueUse(t.plan()));
+            ActualUse use = seen.computeIfAbsent(t.customer(), c -> new ActualUse(t.plan()));
             if (!use.holds(t.at(), t.units())) continue;
             use.take(t.at(), t.units());
             double endAt = t.at() + load.workMsPerUnit() * t.units();
@@ -214,11 +214,11 @@
     }
 
     private void awaitNext(int host) {
-        LoadedHosts.Completion next = hosts.next(host);
+        QueueingHosts.Completion next = hosts.next(host);
         if (next != null) at(next.at(), () -> complete(next));
     }
 
-    private void complete(LoadedHosts.Completion completion) {
+    private void complete(QueueingHosts.Completion completion) {
         if (!hosts.isCurrent(completion)) return;
         Client client = take(completion.request());
         out.remove(client.id);
@@ -267,11 +267,11 @@
     }
 
     /** One that sees the true state of the quotas late, and takes hosts by chance. */
-    Policy seenLate() {
-        return new Policy() {
+    Gateways seenLate() {
+        return new Gateways() {
             @Override
             public void arrives(double time, Client client) {
-                boolean room = use(client).holds(time - QuotaWorld.LATE_MS, client.first.units());
+                boolean room = use(client).holds(time - QuotaSimulation.LATE_MS, client.first.units());
                 if (room) {
                     send(client, random.nextInt(load.hosts()));
                 } else {
@@ -293,7 +293,7 @@
     }
 
     /** The real modules, one a gateway. */
-    Policy fleet(List<Plan> plans, double maxUnits, long seed) {
+    Gateways fleet(List<Plan> plans, double maxUnits, long seed) {
         return new Fleet(plans, maxUnits, seed);
     }
 
@@ -306,7 +306,7 @@
     }
 
     /** The modules, and how far what each said has been carried out. */
-    private final class Fleet implements Policy {
+    private final class Fleet implements Gateways {
         private final List<FakeGateway> modules = new ArrayList<>();
         private final int[] sent = new int[gateways];
         private final int[] refused = new int[gateways];
@@ -316,7 +316,7 @@
         Fleet(List<Plan> plans, double maxUnits, long seed) {
             Settings s = FakeGateway.metered(0, gateways, seed);
             String[] names = IntStream.range(0, load.hosts())
-                    .mapToObj(LoadedQuotaWorld::hostName)
+                    .mapToObj(LoadedQuotaSimulation::hostName)
                     .toArray(String[]::new);
             for (int i = 0; i < gateways; i++) {
                 Settings own = new Settings(
@@ -330,7 +330,7 @@
                         List.of(),
                         s.limits(),
                         s.rules(),
-                        new Sharing(false, 0, QuotaWorld.PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
+                        new Sharing(false, 0, QuotaSimulation.PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
                 modules.add(new FakeGateway(0, own).withHosts(names));
             }
         }
@@ -338,7 +338,7 @@
         @Override
         public void arrives(double time, Client client) {
             FakeGateway module = runTo(client.gateway, time);
-            QuotaWorld.Try t = client.first;
+            QuotaSimulation.ClientRequest t = client.first;
             module.brain.requestReceived(
                     time,
                     new Request(
--- a/src/test/java/caperrudder/policy/QuotaFleetTest.java
+++ b/src/test/java/caperrudder/policy/MeteredFleetTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A customer's quota holds over a fleet whose gateways know of each other's use only by the meter, late. */
-class QuotaFleetTest {
+class MeteredFleetTest {
     private static final int GATEWAYS = 20;
     private static final int HOSTS = 80; // enough that only quotas decide
     private static final double RUN_MS = 30_000;
@@ -31,14 +31,14 @@
     private static final double REFUSED_WITH_ROOM = 0.04; // the design's limit on quiet days
 
     /** One try as the customers make them, whatever became of those before. */
-    private record Try(double at, int gateway, long customer, Plan plan) {}
+    private record ClientRequest(double at, int gateway, long customer, Plan plan) {}
 
     /** What all have used: the store that counts, and how it stood before. */
-    private static final class Store {
+    private static final class ActualBucket {
         private final Plan plan;
         private final TreeMap<Double, Double> before = new TreeMap<>();
 
-        Store(Plan plan) {
+        ActualBucket(Plan plan) {
             this.plan = plan;
             before.put(0.0, plan.burstUnits());
         }
@@ -58,7 +58,7 @@
         }
     }
 
-    private static final class Tally {
+    private static final class Outcomes {
         double worth; // of what one who sees all tries would let in
         double cost; // of what was let in beyond
         int tries;
@@ -78,9 +78,9 @@
     }
 
     /** Most use a part of their quota, some nearly all, a few much more, each mostly at some of the gateways. */
-    private static List<Try> tries(long seed, List<Plan> plans) {
+    private static List<ClientRequest> tries(long seed, List<Plan> plans) {
         Random r = new Random(seed);
-        List<Try> all = new ArrayList<>();
+        List<ClientRequest> all = new ArrayList<>();
         for (int customer = 1; customer <= 60; customer++) {
             Plan p = plans.get(customer % plans.size());
             double kind = r.nextDouble();
@@ -88,14 +88,14 @@
             int busiest = r.nextInt(GATEWAYS);
             for (double at = 1; at < RUN_MS; at += -Math.log(1 - r.nextDouble()) * 1000 / (use * p.unitsPerSecond())) {
                 int gateway = (busiest + (int) (GATEWAYS * Math.pow(r.nextDouble(), 2))) % GATEWAYS;
-                all.add(new Try(at, gateway, customer, p));
+                all.add(new ClientRequest(at, gateway, customer, p));
             }
         }
-        all.sort(Comparator.comparingDouble(Try::at));
+        all.sort(Comparator.comparingDouble(ClientRequest::at));
         return all;
     }
 
-    private static void count(Tally t, Store s, Try of, boolean in) {
+    private static void count(Outcomes t, ActualBucket s, ClientRequest of, boolean in) {
         boolean room =
                 s.level(of.at()) >= Math.max(1, of.plan().burstUnits() / 2); // as the bench counts it: half unused
         t.tries++;
@@ -106,20 +106,20 @@
         }
     }
 
-    private static double worth(List<Try> tries) {
-        Map<Long, Store> stores = new HashMap<>();
+    private static double worth(List<ClientRequest> tries) {
+        Map<Long, ActualBucket> stores = new HashMap<>();
         return tries.stream()
-                .filter(t -> stores.computeIfAbsent(t.customer(), c -> new Store(t.plan()))
+                .filter(t -> stores.computeIfAbsent(t.customer(), c -> new ActualBucket(t.plan()))
                         .take(t.at()))
                 .count();
     }
 
-    private static Tally seenLate(List<Try> tries) {
-        Tally tally = new Tally();
+    private static Outcomes seenLate(List<ClientRequest> tries) {
+        Outcomes tally = new Outcomes();
         tally.worth = worth(tries);
-        Map<Long, Store> stores = new HashMap<>();
-        for (Try t : tries) {
-            Store s = stores.computeIfAbsent(t.customer(), c -> new Store(t.plan()));
+        Map<Long, ActualBucket> stores = new HashMap<>();
+        for (ClientRequest t : tries) {
+            ActualBucket s = stores.computeIfAbsent(t.customer(), c -> new ActualBucket(t.plan()));
             count(tally, s, t, s.level(t.at() - LATE_MS) >= 1);
         }
         return tally;
@@ -132,7 +132,7 @@
         return 1 + (int) (100 * units * 1000 / PERIOD_MS / p.unitsPerSecond());
     }
 
-    private static Tally byTheFleet(long seed, List<Try> tries, List<Plan> plans) {
+    private static Outcomes byTheFleet(long seed, List<ClientRequest> tries, List<Plan> plans) {
         Settings s = FakeGateway.metered(0, GATEWAYS, seed);
         List<FakeGateway> fleet = new ArrayList<>();
         String[] hosts = IntStream.range(0, HOSTS).mapToObj(h -> "a" + h).toArray(String[]::new);
@@ -151,16 +151,16 @@
                     new Sharing(false, 0, PERIOD_MS, false, 1, 0, 0, 0, 0));
             fleet.add(new FakeGateway(0, own).withHosts(hosts));
         }
-        Tally tally = new Tally();
+        Outcomes tally = new Outcomes();
         tally.worth = worth(tries);
-        Map<Long, Store> stores = new HashMap<>();
+        Map<Long, ActualBucket> stores = new HashMap<>();
         Map<Long, List<Double>> uses = new HashMap<>();
-        PriorityQueue<Try> answers = new PriorityQueue<>(Comparator.comparingDouble(Try::at));
-        Map<Try, String> ids = new HashMap<>();
+        PriorityQueue<ClientRequest> answers = new PriorityQueue<>(Comparator.comparingDouble(ClientRequest::at));
+        Map<ClientRequest, String> ids = new HashMap<>();
         int serial = 0;
-        for (Try t : tries) {
+        for (ClientRequest t : tries) {
             for (; !answers.isEmpty() && answers.peek().at() + ANSWER_MS <= t.at(); answers.poll()) {
-                Try of = answers.peek();
+                ClientRequest of = answers.peek();
                 FakeGateway g = fleet.get(of.gateway());
                 g.runTo(of.at() + ANSWER_MS);
                 g.end(ids.get(of), 0, Outcome.OK, ANSWER_MS, metered(uses.get(of.customer()), of.plan(), g.now));
@@ -182,7 +182,7 @@
                             0,
                             GATEWAYS));
             boolean in = g.sends(id) > 0;
-            count(tally, stores.computeIfAbsent(t.customer(), c -> new Store(t.plan())), t, in);
+            count(tally, stores.computeIfAbsent(t.customer(), c -> new ActualBucket(t.plan())), t, in);
             if (in) {
                 uses.computeIfAbsent(t.customer(), c -> new ArrayList<>()).add(t.at());
                 ids.put(t, id);
@@ -196,9 +196,9 @@
     @ValueSource(longs = {1, 2, 3})
     void whatPassesBeyondQuotasOnAQuietDayCostsLittleMoreThanIfAllWereSeenLate(long seed) {
         List<Plan> plans = List.of(plan("low", 0.8, 4, 1.2), plan("middle", 3, 4, 0.5), plan("high", 11, 2, 0.8));
-        List<Try> tries = tries(seed, plans);
-        Tally fleet = byTheFleet(seed, tries, plans);
-        Tally late = seenLate(tries);
+        List<ClientRequest> tries = tries(seed, plans);
+        Outcomes fleet = byTheFleet(seed, tries, plans);
+        Outcomes late = seenLate(tries);
         String told = "price %.3f, seen late %.3f; refused with room %.3f"
                 .formatted(fleet.price(), late.price(), fleet.withRoom());
         assertTrue(fleet.price() <= late.price() + MORE, told);
--- a/src/test/java/caperrudder/policy/MeterTest.java
+++ b/src/test/java/caperrudder/policy/MeteredQuotaTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What one gateway of many makes of the meter's word on a customer. */
-class MeterTest {
+class MeteredQuotaTest {
     private static final int GATEWAYS = 20;
     private static final long CUSTOMER = 42;
 
--- a/src/test/java/caperrudder/policy/OverQuotaTest.java
+++ b/src/test/java/caperrudder/policy/OverQuotaCostTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.Plan;
-import caperrudder.policy.QuotaWorld.Habits;
-import caperrudder.policy.QuotaWorld.Policy;
-import caperrudder.policy.QuotaWorld.Result;
+import caperrudder.policy.QuotaSimulation.Admission;
+import caperrudder.policy.QuotaSimulation.CustomerBehaviour;
+import caperrudder.policy.QuotaSimulation.Result;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -16,7 +16,7 @@
  * On a quiet day the quotas hold over fleets of 20 and 95 gateways that know of each other by the meter alone: what
  * is let in beyond them costs hardly more than under a policy that sees the true state late.
  */
-class OverQuotaTest {
+class OverQuotaCostTest {
     private static final double RUN_MS = 25_000;
     private static final double ANSWER_MS = 230;
     private static final double PRICE_MORE = 0.05; // of the worth inside: half of what is allowed
@@ -32,10 +32,11 @@
     }
 
     private static void holds(
-            int gateways, long seed, List<Plan> plans, int[] customers, Habits habits, double maxUnits) {
-        List<QuotaWorld.Try> tries = QuotaWorld.tries(gateways, plans, customers, habits, ANSWER_MS, RUN_MS, seed);
-        QuotaWorld world = new QuotaWorld(gateways, tries, ANSWER_MS);
-        Policy modules = world.fleet(plans, maxUnits, seed);
+            int gateways, long seed, List<Plan> plans, int[] customers, CustomerBehaviour habits, double maxUnits) {
+        List<QuotaSimulation.ClientRequest> tries =
+                QuotaSimulation.tries(gateways, plans, customers, habits, ANSWER_MS, RUN_MS, seed);
+        QuotaSimulation world = new QuotaSimulation(gateways, tries, ANSWER_MS);
+        Admission modules = world.fleet(plans, maxUnits, seed);
         Result late = world.play(world.seenLate(), seed);
         Result fleet = world.play(modules, seed);
         String told = fleet + ", seen late " + late;
@@ -52,7 +53,13 @@
                 plan("low", 0.8, 3.2, 0, 0.8, 1.2),
                 plan("middle", 2.7, 10, 0, 1.1, 0.5),
                 plan("high", 11, 22, 0, 1.4, 0.8));
-        holds(gateways, seed, plans, customers(gateways, 200, 120, 40), new Habits(0.09, 3, 0.2, 5, 2800, r -> 1), 1);
+        holds(
+                gateways,
+                seed,
+                plans,
+                customers(gateways, 200, 120, 40),
+                new CustomerBehaviour(0.09, 3, 0.2, 5, 2800, r -> 1),
+                1);
     }
 
     @ParameterizedTest
@@ -60,7 +67,7 @@
     void whereRequestsDifferAndAPlanLimitsThoseOpenAtOnce(int gateways, long seed) {
         List<Plan> plans = List.of(
                 plan("low", 1.6, 8, 0, 0.88, 1.2), plan("open", 0, 0, 2, 1.3, 1.2), plan("high", 30, 60, 0, 1.8, 1.2));
-        Habits habits = new Habits(
+        CustomerBehaviour habits = new CustomerBehaviour(
                 0.1, 3.8, 0.2, 4.6, 3000, r -> Math.min(4, Math.max(1, Math.ceil(-2 * Math.log(1 - r.nextDouble())))));
         holds(gateways, seed, plans, customers(gateways, 360, 105, 42), habits, 4);
     }
--- a/src/test/java/caperrudder/policy/OverQuotaUnderLoadTest.java
+++ b/src/test/java/caperrudder/policy/OverQuotaCostUnderLoadTest.java
@@ -7,9 +7,9 @@
 import caperrudder.api.Idempotency;
 import caperrudder.api.Plan;
 import caperrudder.api.RequestClass;
-import caperrudder.policy.LoadedQuotaWorld.Load;
-import caperrudder.policy.LoadedQuotaWorld.Result;
-import caperrudder.policy.QuotaWorld.Habits;
+import caperrudder.policy.LoadedQuotaSimulation.Load;
+import caperrudder.policy.LoadedQuotaSimulation.Result;
+import caperrudder.policy.QuotaSimulation.CustomerBehaviour;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.LongStream;
@@ -21,7 +21,7 @@
  * passes beyond quotas near that of a policy that sees the true state of all customers late, or well under it where
  * requests differ, and serve no less.
  */
-class OverQuotaUnderLoadTest {
+class OverQuotaCostUnderLoadTest {
     private static final double RUN_MS = 25_000;
     private static final double ANSWER_MS = 350; // about: by it customers of a limit on open attempts know their quota
     private static final int SEEDS = 4;
@@ -32,7 +32,7 @@
     record Deployment(
             List<Plan> plans,
             int[] customers,
-            Habits habits,
+            CustomerBehaviour habits,
             double maxUnits,
             int hosts,
             int cores,
@@ -55,7 +55,7 @@
                     plan("open", 0, 0, 2, 1.3, 1.2),
                     plan("high", 30, 47, 0, 1.8, 1.2)),
             new int[] {330, 60, 14},
-            new Habits(
+            new CustomerBehaviour(
                     0.12,
                     4.5,
                     0.2,
@@ -75,7 +75,7 @@
                     plan("middle", 2.7, 10, 0, 1.1, 0.5),
                     plan("high", 11, 22, 0, 1.4, 0.8)),
             new int[] {210, 80, 22},
-            new Habits(0.1, 4, 0.22, 6, 3500, r -> 1),
+            new CustomerBehaviour(0.1, 4, 0.22, 6, 3500, r -> 1),
             1,
             60,
             3,
@@ -86,7 +86,7 @@
     private static final Deployment SMALL_BURSTS = new Deployment(
             List.of(plan("low", 0.5, 2, 0, 1, 0.5), plan("open", 0, 0, 2, 1.2, 0.5), plan("high", 12, 18, 0, 1.5, 0.5)),
             new int[] {300, 50, 24},
-            new Habits(0.14, 4.5, 0.24, 6, 4000, r -> r.nextInt(3) == 0 ? 2 : 1),
+            new CustomerBehaviour(0.14, 4.5, 0.24, 6, 4000, r -> r.nextInt(3) == 0 ? 2 : 1),
             2,
             56,
             2,
@@ -96,11 +96,11 @@
     private static Result[] play(Deployment d, int gateways, long seed) {
         int[] customers =
                 Arrays.stream(d.customers()).map(c -> c * gateways / 100).toArray();
-        List<QuotaWorld.Try> tries =
-                QuotaWorld.tries(gateways, d.plans(), customers, d.habits(), ANSWER_MS, RUN_MS, seed);
+        List<QuotaSimulation.ClientRequest> tries =
+                QuotaSimulation.tries(gateways, d.plans(), customers, d.habits(), ANSWER_MS, RUN_MS, seed);
         Load load = new Load(d.hosts() * gateways / 100, d.cores(), d.workMsPerUnit(), d.classes());
-        LoadedQuotaWorld seenLate = new LoadedQuotaWorld(gateways, tries, load);
-        LoadedQuotaWorld fleet = new LoadedQuotaWorld(gateways, tries, load);
+        LoadedQuotaSimulation seenLate = new LoadedQuotaSimulation(gateways, tries, load);
+        LoadedQuotaSimulation fleet = new LoadedQuotaSimulation(gateways, tries, load);
         return new Result[] {
             fleet.play(fleet.fleet(d.plans(), d.maxUnits(), seed), seed), seenLate.play(seenLate.seenLate(), seed)
         };
--- a/src/test/java/caperrudder/policy/LoadedHosts.java
+++ b/src/test/java/caperrudder/policy/QueueingHosts.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /** Hosts of limited capacity: each shares its cores evenly among the requests that it holds, so answers slow. */
-final class LoadedHosts {
+final class QueueingHosts {
     private final int cores;
     private final List<Host> hosts = new ArrayList<>();
 
@@ -20,7 +20,7 @@
     /** The request that a host ends next, unless what it holds has changed by then. */
     record Completion(int host, double at, String request, int changes) {}
 
-    LoadedHosts(int count, int cores) {
+    QueueingHosts(int count, int cores) {
         this.cores = cores;
         for (int i = 0; i < count; i++) {
             hosts.add(new Host());
--- a/src/test/java/caperrudder/policy/BooksTest.java
+++ b/src/test/java/caperrudder/policy/QuotaIntegrityTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The books of customers: no claim, no return and no message may fill a store, and none may be kept for good. */
-class BooksTest {
+class QuotaIntegrityTest {
     /** A liar once emptied the first plan's store, named another, and got both full again, time after time. */
     @Test
     void anotherPlanInACustomersNameOpensNoNewBooks() {
--- a/src/test/java/caperrudder/policy/PartsTest.java
+++ b/src/test/java/caperrudder/policy/QuotaSharingTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Admission by parts, tells between gateways, and giving of ceiling units. */
-class PartsTest {
+class QuotaSharingTest {
     private final List<FakeGateway> all = new ArrayList<>();
     private int serial;
     private final Set<String> ended = new HashSet<>();
--- a/src/test/java/caperrudder/policy/QuotaWorld.java
+++ b/src/test/java/caperrudder/policy/QuotaSimulation.java
@@ -19,7 +19,7 @@
  * Customers of a fleet, the true state of their quotas, and a meter that tells of it late. Who lets in is played
  * against it: the real modules, or one that sees the true state late.
  */
-final class QuotaWorld {
+final class QuotaSimulation {
     static final double PERIOD_MS = 1000; // of the meter
     static final double LATE_MS = 800; // from a period's end to its figure; also how late the other policy sees
     private static final int HOSTS_PER_GATEWAY = 4; // enough that only quotas decide
@@ -27,17 +27,18 @@
     private static final double BACKOFF_MS = 50; // before the first further try; doubles
 
     /** One try: {@code spread} gateways from {@code first} on may get it, and this gateway did. */
-    record Try(double at, int gateway, long customer, Plan plan, double units, int first, int spread, int further) {
+    record ClientRequest(
+            double at, int gateway, long customer, Plan plan, double units, int first, int spread, int further) {
         double worth() {
             return plan.valueFactor() * units;
         }
     }
 
     /** Decides on a try when it comes, and is told of the end of those let in, with the meter's word. */
-    interface Policy {
-        boolean admits(Try t);
+    interface Admission {
+        boolean admits(ClientRequest t);
 
-        default void ended(Try t, double at, int usedPct) {}
+        default void ended(ClientRequest t, double at, int usedPct) {}
     }
 
     /** Shares of the worth that one who sees all first tries would let in. */
@@ -48,28 +49,28 @@
     }
 
     private final int gateways;
-    private final List<Try> tries;
+    private final List<ClientRequest> tries;
     private final double answerMs;
-    private final Map<Long, TrueUse> uses = new HashMap<>();
+    private final Map<Long, ActualUse> uses = new HashMap<>();
 
     /** {@code answerMs}: how long an attempt is out. */
-    QuotaWorld(int gateways, List<Try> tries, double answerMs) {
+    QuotaSimulation(int gateways, List<ClientRequest> tries, double answerMs) {
         this.gateways = gateways;
         this.tries = tries;
         this.answerMs = answerMs;
     }
 
-    private TrueUse use(Try t) {
-        return uses.computeIfAbsent(t.customer(), c -> new TrueUse(t.plan()));
+    private ActualUse use(ClientRequest t) {
+        return uses.computeIfAbsent(t.customer(), c -> new ActualUse(t.plan()));
     }
 
-    private record End(double at, Try of) {}
+    private record End(double at, ClientRequest of) {}
 
     private double worthInside() {
-        QuotaWorld all = new QuotaWorld(gateways, tries, answerMs);
+        QuotaSimulation all = new QuotaSimulation(gateways, tries, answerMs);
         PriorityQueue<End> ends = new PriorityQueue<>(Comparator.comparingDouble(End::at));
         double worth = 0;
-        for (Try t : tries) {
+        for (ClientRequest t : tries) {
             for (; !ends.isEmpty() && ends.peek().at() <= t.at(); ends.poll())
                 all.use(ends.peek().of()).ended(ends.peek().at());
             if (!all.use(t).holds(t.at(), t.units())) continue;
@@ -81,10 +82,10 @@
     }
 
     /** Plays all tries, and the further ones of those that are refused. */
-    Result play(Policy policy, long seed) {
+    Result play(Admission policy, long seed) {
         uses.clear();
         Random random = new Random(seed);
-        PriorityQueue<Try> coming = new PriorityQueue<>(Comparator.comparingDouble(Try::at));
+        PriorityQueue<ClientRequest> coming = new PriorityQueue<>(Comparator.comparingDouble(ClientRequest::at));
         coming.addAll(tries);
         PriorityQueue<End> ends = new PriorityQueue<>(Comparator.comparingDouble(End::at));
         double served = 0;
@@ -92,7 +93,7 @@
         int made = 0;
         int withRoom = 0;
         while (!coming.isEmpty()) {
-            Try t = coming.poll();
+            ClientRequest t = coming.poll();
             for (; !ends.isEmpty() && ends.peek().at() <= t.at(); ends.poll()) {
                 End e = ends.peek();
                 use(e.of()).ended(e.at());
@@ -110,19 +111,19 @@
             if (t.further() == 0 || random.nextDouble() > COMES_AGAIN) continue;
             int other = (t.first() + random.nextInt(t.spread())) % gateways;
             double wait = BACKOFF_MS * Math.pow(2, 2 - t.further()) * (0.5 + random.nextDouble());
-            coming.add(new Try(
+            coming.add(new ClientRequest(
                     t.at() + wait, other, t.customer(), t.plan(), t.units(), t.first(), t.spread(), t.further() - 1));
         }
         double worth = worthInside();
         return new Result(served / worth, cost / worth, (double) withRoom / made);
     }
 
-    Policy seenLate() {
+    Admission seenLate() {
         return t -> use(t).holds(t.at() - LATE_MS, t.units());
     }
 
     /** The real modules, one a gateway, before hosts that have room for all. */
-    Policy fleet(List<Plan> plans, double maxUnits, long seed) {
+    Admission fleet(List<Plan> plans, double maxUnits, long seed) {
         Settings s = FakeGateway.metered(0, gateways, seed);
         List<FakeGateway> fleet = new ArrayList<>();
         String[] hosts = IntStream.range(0, HOSTS_PER_GATEWAY * gateways)
@@ -143,11 +144,11 @@
                     new Sharing(false, 0, PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
             fleet.add(new FakeGateway(0, own).withHosts(hosts));
         }
-        return new Policy() {
-            private final Map<Try, String> ids = new HashMap<>();
+        return new Admission() {
+            private final Map<ClientRequest, String> ids = new HashMap<>();
 
             @Override
-            public boolean admits(Try t) {
+            public boolean admits(ClientRequest t) {
                 FakeGateway g = fleet.get(t.gateway());
                 g.runTo(t.at());
                 String id = "t" + ids.size() + "-" + t.at();
@@ -170,7 +171,7 @@
             }
 
             @Override
-            public void ended(Try t, double at, int usedPct) {
+            public void ended(ClientRequest t, double at, int usedPct) {
                 FakeGateway g = fleet.get(t.gateway());
                 g.runTo(at);
                 g.end(ids.get(t), 0, Outcome.OK, answerMs, usedPct);
@@ -179,7 +180,7 @@
     }
 
     /** How the customers of a deployment behave. */
-    record Habits(
+    record CustomerBehaviour(
             double heavyShare,
             double heavyTimes,
             double spikyShare,
@@ -191,10 +192,16 @@
      * Most customers use a part of their quota, some nearly all, some ask far more for seconds or all the time;
      * each comes in mostly by some gateways of its set.
      */
-    static List<Try> tries(
-            int gateways, List<Plan> plans, int[] customers, Habits habits, double answerMs, double runMs, long seed) {
+    static List<ClientRequest> tries(
+            int gateways,
+            List<Plan> plans,
+            int[] customers,
+            CustomerBehaviour habits,
+            double answerMs,
+            double runMs,
+            long seed) {
         Random r = new Random(seed);
-        List<Try> all = new ArrayList<>();
+        List<ClientRequest> all = new ArrayList<>();
         long customer = 0;
         for (int p = 0; p < customers.length; p++) {
             Plan plan = plans.get(p);
@@ -213,14 +220,14 @@
                     boolean spike = spiky && at >= spikeAt && at < spikeAt + habits.spikeMs();
                     double units = habits.units().applyAsDouble(r);
                     int gateway = (first + (int) (spread * Math.pow(r.nextDouble(), 2))) % gateways;
-                    all.add(new Try(at, gateway, customer, plan, units, first, spread, 2));
+                    all.add(new ClientRequest(at, gateway, customer, plan, units, first, spread, 2));
                     double perSecond =
                             (spike ? habits.spikeTimes() : use) * quota / (plan.unitsPerSecond() > 0 ? units : 1);
                     at += -Math.log(1 - r.nextDouble()) * 1000 / perSecond;
                 }
             }
         }
-        all.sort(Comparator.comparingDouble(Try::at));
+        all.sort(Comparator.comparingDouble(ClientRequest::at));
         return all;
     }
 }
--- a/src/test/java/caperrudder/policy/InheritanceTest.java
+++ b/src/test/java/caperrudder/policy/SnapshotRestoreTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the next process of a gateway makes of the books of the last one. */
-class InheritanceTest {
+class SnapshotRestoreTest {
     private static final int BURST = (int) FakeGateway.SMALL.burstUnits();
 
     private static int use(FakeGateway g, String name, int count) {
