--- a/src/test/java/caperrudder/policy/ActualUse.java
+++ b/src/test/java/caperrudder/policy/ActualUse.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What all gateways together have let in of one customer: the state that counts, and how it stood before. */
+/** What all gateways together have admitted of one customer: the actual state, and how it stood before. */
 final class ActualUse {
     private final Plan plan;
     private final TreeMap<Double, Double> levels = new TreeMap<>();
-    private final TreeMap<Double, Integer> outs = new TreeMap<>();
+    private final TreeMap<Double, Integer> openCounts = new TreeMap<>();
     private final TreeMap<Double, Double> units = new TreeMap<>();
 
     ActualUse(Plan plan) {
         this.plan = plan;
         levels.put(0.0, plan.burstUnits());
-        outs.put(0.0, 0);
+        openCounts.put(0.0, 0);
     }
 
     double level(double at) {
@@ -23,43 +23,43 @@
                 plan.burstUnits(), last.getValue() + plan.unitsPerSecond() * (Math.max(0, at) - last.getKey()) / 1000);
     }
 
-    int out(double at) {
-        return outs.floorEntry(Math.max(0, at)).getValue();
+    int openAt(double at) {
+        return openCounts.floorEntry(Math.max(0, at)).getValue();
     }
 
-    boolean holds(double at, double wanted) {
+    boolean admits(double at, double wanted) {
         return (plan.unitsPerSecond() <= 0 || level(at) >= wanted)
-                && (plan.concurrencyLimit() <= 0 || out(at) < plan.concurrencyLimit());
+                && (plan.concurrencyLimit() <= 0 || openAt(at) < plan.concurrencyLimit());
     }
 
     /** As the bench counts it: at least half of the quota is unused. */
-    boolean halfUnused(double at, double wanted) {
+    boolean isHalfUnused(double at, double wanted) {
         return (plan.unitsPerSecond() <= 0 || level(at) >= Math.max(wanted, plan.burstUnits() / 2))
-                && (plan.concurrencyLimit() <= 0 || out(at) <= plan.concurrencyLimit() / 2);
+                && (plan.concurrencyLimit() <= 0 || openAt(at) <= plan.concurrencyLimit() / 2);
     }
 
-    /** Whether it was inside the quota; what is beyond takes nothing. */
+    /** Whether it was inside the quota; excess takes nothing from the bucket. */
     boolean take(double at, double wanted) {
-        boolean inside = holds(at, wanted);
+        boolean inside = admits(at, wanted);
         if (plan.unitsPerSecond() > 0) levels.put(at, level(at) - (inside ? wanted : 0));
         units.merge(at, wanted, Double::sum);
-        outs.put(at, out(at) + 1);
+        openCounts.put(at, openAt(at) + 1);
         return inside;
     }
 
-    /** A further attempt of a try that has taken its units. */
-    void again(double at) {
-        outs.put(at, out(at) + 1);
+    /** A retry of a request that has taken its units. */
+    void retry(double at) {
+        openCounts.put(at, openAt(at) + 1);
     }
 
     void ended(double at) {
-        outs.put(at, out(at) - 1);
+        openCounts.put(at, openAt(at) - 1);
     }
 
-    /** What the meter tells: 1 + use in the last finished period whose figure has come, in percent of the quota. */
+    /** The meter's figure: 1 + use in the last finished period whose figure has arrived, in percent of the quota. */
     int metered(double now) {
         double end =
-                Math.floor((now - QuotaSimulation.LATE_MS) / QuotaSimulation.PERIOD_MS) * QuotaSimulation.PERIOD_MS;
+                Math.floor((now - QuotaSimulation.DELAY_MS) / QuotaSimulation.PERIOD_MS) * QuotaSimulation.PERIOD_MS;
         double begin = end - QuotaSimulation.PERIOD_MS;
         if (end <= 0) return 1;
         if (plan.unitsPerSecond() > 0) {
@@ -68,8 +68,10 @@
                     .sum();
             return 1 + (int) (100 * used * 1000 / QuotaSimulation.PERIOD_MS / plan.unitsPerSecond());
         }
-        int peak =
-                outs.subMap(begin, end).values().stream().mapToInt(o -> o).max().orElse(0);
-        return 1 + 100 * Math.max(peak, out(begin)) / plan.concurrencyLimit();
+        int peak = openCounts.subMap(begin, end).values().stream()
+                .mapToInt(o -> o)
+                .max()
+                .orElse(0);
+        return 1 + 100 * Math.max(peak, openAt(begin)) / plan.concurrencyLimit();
     }
 }
--- a/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
@@ -18,27 +18,28 @@
 import java.util.stream.IntStream;
 
 /**
- * Customers, the true state of their quotas and a late meter, before hosts whose answers slow with what is out.
- * Clients that are refused come again. So what is let in beyond a quota also costs those inside it time.
+ * Customers, the true state of their quotas and a late meter, before hosts that slow down with the requests open at them.
+ * Rejected clients retry. So what is admitted beyond a quota also costs those inside it time.
  */
 final class LoadedQuotaSimulation {
-    private static final double BEAT_MS = 20;
-    private static final double HONOURS = 0.7; // share of the clients that wait as long as a refusal tells
-    private static final double BACKOFF_MS = 150; // the longest of the shortest own waits of a client; doubles
+    private static final double TICK_MS = 20;
+    private static final double HONOURING_SHARE = 0.7; // of the clients: they wait as long as Retry-After says
+    private static final double BACKOFF_MS = 150; // the longest first backoff of a client; doubles
     private static final double NETWORK_MS = 2; // of an attempt, there and back
     private static final int LIST_NUMBERS = 10_000; // of hosts: their names sort as their numbers
 
-    /** What the hosts can do, what requests ask of them, and the classes that requests are of, one drawn for each. */
+    /** Capacity of the hosts, work of a request, and the classes that requests are drawn from. */
     record Load(int hosts, int cores, double workMsPerUnit, List<RequestClass> classes) {}
 
-    /** Shares of the worth that one who sees all first tries would let in; of the tries; a median time. */
-    record Result(double served, double price, double withRoom, double triesPerRequest, double medianMs) {
+    /** Shares of the value that a policy with a view of all first requests would admit; of the requests; a median time. */
+    record Result(
+            double served, double excessCost, double rejectedWithCapacity, double attemptsPerRequest, double medianMs) {
         static Result mean(List<Result> all) {
             return new Result(
                     mean(all, Result::served),
-                    mean(all, Result::price),
-                    mean(all, Result::withRoom),
-                    mean(all, Result::triesPerRequest),
+                    mean(all, Result::excessCost),
+                    mean(all, Result::rejectedWithCapacity),
+                    mean(all, Result::attemptsPerRequest),
                     mean(all, Result::medianMs));
         }
 
@@ -48,23 +49,23 @@
 
         @Override
         public String toString() {
-            return "served %.3f, price %.3f, with room %.3f, tries %.2f, median %.0f ms"
-                    .formatted(served, price, withRoom, triesPerRequest, medianMs);
+            return "served %.3f, price %.3f, with hasCapacity %.3f, tries %.2f, median %.0f ms"
+                    .formatted(served, excessCost, rejectedWithCapacity, attemptsPerRequest, medianMs);
         }
     }
 
-    /** Decides on the tries of clients: it sends or refuses each through the world, at once or later. */
+    /** The gateways under test: they send or reject each request through the simulation, at once or later. */
     interface Gateways {
-        void arrives(double now, Client client);
+        void requestArrived(double now, Client client);
 
-        void ended(double now, Client client, double latencyMs, int usedPercent);
+        void responded(double now, Client client, double latencyMs, int usedPercent);
 
-        void left(double now, Client client);
+        void clientGaveUp(double now, Client client);
 
-        void beat(double now);
+        void tick(double now);
     }
 
-    /** A client with one request, over all of its tries. */
+    /** A client with one request, over all of its retries. */
     static final class Client {
         final QuotaSimulation.ClientRequest first;
         final RequestClass requestClass;
@@ -72,11 +73,11 @@
         int gateway;
         int triesLeft;
         double triedAt;
-        String id; // of the present try
+        String id; // of the present request
         boolean waits;
         boolean inside;
         int host = -1;
-        int attempts; // of the present try
+        int attempts; // of the present request
         double sentAt;
 
         Client(QuotaSimulation.ClientRequest first, RequestClass requestClass, double workMs) {
@@ -84,11 +85,11 @@
             this.requestClass = requestClass;
             this.workMs = workMs;
             this.gateway = first.gateway();
-            this.triesLeft = first.further();
+            this.triesLeft = first.retriesLeft();
         }
 
-        double worth() {
-            return first.worth() * requestClass.priorityWeight();
+        double value() {
+            return first.value() * requestClass.priorityWeight();
         }
     }
 
@@ -96,7 +97,7 @@
 
     private final int gateways;
     private final Load load;
-    private final List<QuotaSimulation.ClientRequest> tries;
+    private final List<QuotaSimulation.ClientRequest> requests;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
     private final Map<Long, ActualUse> uses = new HashMap<>();
@@ -110,11 +111,11 @@
     private double served;
     private double cost;
     private int made;
-    private int withRoom;
+    private int rejectedWithCapacity;
 
-    LoadedQuotaSimulation(int gateways, List<QuotaSimulation.ClientRequest> tries, Load load) {
+    LoadedQuotaSimulation(int gateways, List<QuotaSimulation.ClientRequest> requests, Load load) {
         this.gateways = gateways;
-        this.tries = tries;
+        this.requests = requests;
         this.load = load;
     }
 
@@ -126,61 +127,61 @@
         events.add(new Event(time, order++, what));
     }
 
-    /** Plays all tries, and the further ones of those that are refused. */
+    /** Plays all requests, and the retries of those that are rejected. */
     Result play(Gateways decides, long seed) {
         policy = decides;
         random = new Random(seed);
         hosts = new QueueingHosts(load.hosts(), load.cores());
-        for (QuotaSimulation.ClientRequest t : tries) {
+        for (QuotaSimulation.ClientRequest t : requests) {
             RequestClass requestClass =
                     load.classes().get(random.nextInt(load.classes().size()));
             double workMs = load.workMsPerUnit() * t.units() * (0.6 + 0.8 * random.nextDouble());
             Client client = new Client(t, requestClass, workMs);
-            at(t.at(), () -> tries(client));
+            at(t.at(), () -> sendRequest(client));
         }
-        double end = tries.get(tries.size() - 1).at();
-        for (double beat = BEAT_MS; beat < end; beat += BEAT_MS) {
-            at(beat, () -> policy.beat(now));
+        double end = requests.get(requests.size() - 1).at();
+        for (double beat = TICK_MS; beat < end; beat += TICK_MS) {
+            at(beat, () -> policy.tick(now));
         }
         while (!events.isEmpty()) {
             Event event = events.poll();
             now = event.at();
             event.what().run();
         }
-        double worth = worthInside();
+        double value = valueInside();
         times.sort(Comparator.naturalOrder());
         return new Result(
-                served / worth,
-                cost / worth,
-                (double) withRoom / made,
-                (double) made / tries.size(),
+                served / value,
+                cost / value,
+                (double) rejectedWithCapacity / made,
+                (double) made / requests.size(),
                 times.get(times.size() / 2));
     }
 
-    /** What one who sees all first tries would let in, if attempts took their work alone. */
-    private double worthInside() {
+    /** What a policy with a view of all first requests would admit, if attempts took their work alone. */
+    private double valueInside() {
         Map<Long, ActualUse> seen = new HashMap<>();
-        double meanWorth = load.classes().stream()
+        double meanValue = load.classes().stream()
                 .mapToDouble(RequestClass::priorityWeight)
                 .average()
                 .orElse(1);
         PriorityQueue<Event> ends = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
-        double worth = 0;
-        for (QuotaSimulation.ClientRequest t : tries) {
+        double value = 0;
+        for (QuotaSimulation.ClientRequest t : requests) {
             while (!ends.isEmpty() && ends.peek().at() <= t.at()) {
                 ends.poll().what().run();
             }
             ActualUse use = seen.computeIfAbsent(t.customer(), c -> new ActualUse(t.plan()));
-            if (!use.holds(t.at(), t.units())) continue;
+            if (!use.admits(t.at(), t.units())) continue;
             use.take(t.at(), t.units());
             double endAt = t.at() + load.workMsPerUnit() * t.units();
             ends.add(new Event(endAt, 0, () -> use.ended(endAt)));
-            worth += t.worth() * meanWorth;
+            value += t.value() * meanValue;
         }
-        return worth;
+        return value;
     }
 
-    private void tries(Client client) {
+    private void sendRequest(Client client) {
         client.id = "r" + order++;
         client.triedAt = now;
         client.waits = true;
@@ -188,26 +189,26 @@
         made++;
         String id = client.id;
         out.put(id, client);
-        at(now + client.requestClass.deadlineMs(), () -> givesUp(client, id));
-        policy.arrives(now, client);
+        at(now + client.requestClass.deadlineMs(), () -> giveUp(client, id));
+        policy.requestArrived(now, client);
     }
 
-    private void givesUp(Client client, String id) {
+    private void giveUp(Client client, String id) {
         if (!client.waits || !client.id.equals(id)) return;
         client.waits = false;
-        policy.left(now, client);
+        policy.clientGaveUp(now, client);
         times.add(now - client.first.at());
     }
 
-    /** An attempt of the try that the client makes now; the first one takes the units. */
+    /** An attempt for the client's present request; the first one takes the units. */
     void send(Client client, int host) {
         client.host = host;
         client.sentAt = now;
         if (client.attempts++ > 0) {
-            use(client).again(now);
+            use(client).retry(now);
         } else {
             client.inside = use(client).take(now, client.first.units());
-            if (!client.inside) cost += client.worth() * client.first.plan().overQuotaCost();
+            if (!client.inside) cost += client.value() * client.first.plan().overQuotaCost();
         }
         hosts.begin(host, now, client.id, client.workMs + NETWORK_MS);
         awaitNext(host);
@@ -222,12 +223,12 @@
         if (!hosts.isCurrent(completion)) return;
         Client client = take(completion.request());
         out.remove(client.id);
-        policy.ended(now, client, now - client.sentAt, use(client).metered(now));
+        policy.responded(now, client, now - client.sentAt, use(client).metered(now));
         if (!client.waits) return;
         client.waits = false;
         double time = now - client.first.at();
         times.add(time);
-        if (client.inside && time <= client.requestClass.latencyObjectiveMs()) served += client.worth();
+        if (client.inside && time <= client.requestClass.latencyObjectiveMs()) served += client.value();
     }
 
     private Client take(String id) {
@@ -239,7 +240,7 @@
         return client;
     }
 
-    /** An attempt is given up by its gateway; the host drops it. */
+    /** An attempt is cancelled by its gateway; the host drops it. */
     void cancel(Client client) {
         if (client.host >= 0) take(client.id);
     }
@@ -250,49 +251,49 @@
         times.add(now - client.first.at());
     }
 
-    void refuse(Client client, double retryAfterMs) {
+    void reject(Client client, double retryAfterMs) {
         if (!client.waits) return;
         client.waits = false;
         out.remove(client.id);
-        withRoom += use(client).halfUnused(now, client.first.units()) ? 1 : 0;
+        rejectedWithCapacity += use(client).isHalfUnused(now, client.first.units()) ? 1 : 0;
         if (client.triesLeft == 0) {
             times.add(now - client.first.at());
             return;
         }
-        double wait = BACKOFF_MS * random.nextDouble() * Math.pow(2, client.first.further() - client.triesLeft);
-        if (random.nextDouble() < HONOURS) wait = Math.max(wait, retryAfterMs);
+        double wait = BACKOFF_MS * random.nextDouble() * Math.pow(2, client.first.retriesLeft() - client.triesLeft);
+        if (random.nextDouble() < HONOURING_SHARE) wait = Math.max(wait, retryAfterMs);
         client.triesLeft--;
-        client.gateway = (client.first.first() + random.nextInt(client.first.spread())) % gateways;
-        at(now + wait, () -> tries(client));
+        client.gateway = (client.first.firstReplica() + random.nextInt(client.first.replicaCount())) % gateways;
+        at(now + wait, () -> sendRequest(client));
     }
 
-    /** One that sees the true state of the quotas late, and takes hosts by chance. */
-    Gateways seenLate() {
+    /** A policy that sees the actual state of the quotas late, and picks hosts at random. */
+    Gateways delayedView() {
         return new Gateways() {
             @Override
-            public void arrives(double time, Client client) {
-                boolean room = use(client).holds(time - QuotaSimulation.LATE_MS, client.first.units());
-                if (room) {
+            public void requestArrived(double time, Client client) {
+                boolean hasCapacity = use(client).admits(time - QuotaSimulation.DELAY_MS, client.first.units());
+                if (hasCapacity) {
                     send(client, random.nextInt(load.hosts()));
                 } else {
-                    refuse(client, 0);
+                    reject(client, 0);
                 }
             }
 
             @Override
-            public void ended(double time, Client client, double latencyMs, int usedPercent) {}
+            public void responded(double time, Client client, double latencyMs, int usedPercent) {}
 
             @Override
-            public void left(double time, Client client) {
+            public void clientGaveUp(double time, Client client) {
                 cancel(client);
             }
 
             @Override
-            public void beat(double time) {}
+            public void tick(double time) {}
         };
     }
 
-    /** The real modules, one a gateway. */
+    /** The real policy, one a gateway. */
     Gateways fleet(List<Plan> plans, double maxUnits, long seed) {
         return new Fleet(plans, maxUnits, seed);
     }
@@ -305,11 +306,11 @@
         return Integer.parseInt(name.substring(1)) - LIST_NUMBERS;
     }
 
-    /** The modules, and how far what each said has been carried out. */
+    /** The policies, and how far the actions of each have been carried out. */
     private final class Fleet implements Gateways {
-        private final List<FakeGateway> modules = new ArrayList<>();
+        private final List<FakeGateway> harnesses = new ArrayList<>();
         private final int[] sent = new int[gateways];
-        private final int[] refused = new int[gateways];
+        private final int[] rejected = new int[gateways];
         private final int[] failed = new int[gateways];
         private final int[] cancelled = new int[gateways];
 
@@ -331,15 +332,15 @@
                         s.limits(),
                         s.rules(),
                         new Sharing(false, 0, QuotaSimulation.PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
-                modules.add(new FakeGateway(0, own).withHosts(names));
+                harnesses.add(new FakeGateway(0, own).withHosts(names));
             }
         }
 
         @Override
-        public void arrives(double time, Client client) {
-            FakeGateway module = runTo(client.gateway, time);
+        public void requestArrived(double time, Client client) {
+            FakeGateway harness = runTo(client.gateway, time);
             QuotaSimulation.ClientRequest t = client.first;
-            module.brain.requestReceived(
+            harness.brain.requestReceived(
                     time,
                     new Request(
                             client.id,
@@ -350,24 +351,24 @@
                             t.customer(),
                             t.plan().name(),
                             t.units(),
-                            t.first(),
-                            t.spread()));
+                            t.firstReplica(),
+                            t.replicaCount()));
             carryOut(client.gateway);
         }
 
         @Override
-        public void ended(double time, Client client, double latencyMs, int usedPercent) {
+        public void responded(double time, Client client, double latencyMs, int usedPercent) {
             end(client, Outcome.OK, latencyMs, usedPercent);
         }
 
         private void end(Client client, Outcome outcome, double latencyMs, int usedPercent) {
-            FakeGateway module = runTo(client.gateway, now);
-            module.brain.attemptEnded(
+            FakeGateway harness = runTo(client.gateway, now);
+            harness.brain.attemptEnded(
                     now,
                     new AttemptResult(
                             client.id,
                             client.attempts - 1,
-                            module.hostOf(client.id),
+                            harness.hostOf(client.id),
                             outcome,
                             latencyMs,
                             outcome == Outcome.OK,
@@ -378,14 +379,14 @@
         }
 
         @Override
-        public void left(double time, Client client) {
-            FakeGateway module = runTo(client.gateway, time);
-            module.brain.clientDisconnected(time, client.id);
+        public void clientGaveUp(double time, Client client) {
+            FakeGateway harness = runTo(client.gateway, time);
+            harness.brain.clientDisconnected(time, client.id);
             carryOut(client.gateway);
         }
 
         @Override
-        public void beat(double time) {
+        public void tick(double time) {
             for (int i = 0; i < gateways; i++) {
                 runTo(i, time);
                 carryOut(i);
@@ -393,26 +394,26 @@
         }
 
         private FakeGateway runTo(int gateway, double time) {
-            FakeGateway module = modules.get(gateway);
-            module.runTo(time);
-            return module;
+            FakeGateway harness = harnesses.get(gateway);
+            harness.runTo(time);
+            return harness;
         }
 
         private void carryOut(int gateway) {
-            FakeGateway module = modules.get(gateway);
-            while (sent[gateway] < module.sent.size()) {
-                FakeGateway.Sent next = module.sent.get(sent[gateway]++);
+            FakeGateway harness = harnesses.get(gateway);
+            while (sent[gateway] < harness.sent.size()) {
+                FakeGateway.Sent next = harness.sent.get(sent[gateway]++);
                 send(out.get(next.id()), hostNumber(next.host()));
             }
-            while (refused[gateway] < module.refused.size()) {
-                int next = refused[gateway]++;
-                refuse(out.get(module.refused.get(next)), module.retryAfter.get(next));
+            while (rejected[gateway] < harness.refused.size()) {
+                int next = rejected[gateway]++;
+                reject(out.get(harness.refused.get(next)), harness.retryAfter.get(next));
             }
-            while (failed[gateway] < module.failed.size()) {
-                fail(out.get(module.failed.get(failed[gateway]++)));
+            while (failed[gateway] < harness.failed.size()) {
+                fail(out.get(harness.failed.get(failed[gateway]++)));
             }
-            while (cancelled[gateway] < module.cancelled.size()) {
-                Client client = out.get(module.cancelled.get(cancelled[gateway]++));
+            while (cancelled[gateway] < harness.cancelled.size()) {
+                Client client = out.get(harness.cancelled.get(cancelled[gateway]++));
                 if (client == null || client.host < 0) continue;
                 double latencyMs = now - client.sentAt;
                 cancel(client);
--- a/src/test/java/caperrudder/policy/MeteredFleetTest.java
+++ b/src/test/java/caperrudder/policy/MeteredFleetTest.java
@@ -24,16 +24,17 @@
     private static final int GATEWAYS = 20;
     private static final int HOSTS = 80; // enough that only quotas decide
     private static final double RUN_MS = 30_000;
-    private static final double ANSWER_MS = 200;
+    private static final double RESPONSE_MS = 200;
     private static final double PERIOD_MS = 1000; // of the meter
-    private static final double LATE_MS = 800; // from a period's end to its figure; also how late the other policy sees
-    private static final double MORE = 0.1; // of the worth inside, that tries beyond may cost more
-    private static final double REFUSED_WITH_ROOM = 0.04; // the design's limit on quiet days
+    private static final double DELAY_MS =
+            800; // from a period's end to its figure; also the delay of the other policy's view
+    private static final double COST_MARGIN = 0.1; // of the value inside, that excess may cost more
+    private static final double REJECTED_WITH_CAPACITY = 0.04; // the design's limit on quiet days
 
-    /** One try as the customers make them, whatever became of those before. */
+    /** One request as the customers make them, whatever became of those before. */
     private record ClientRequest(double at, int gateway, long customer, Plan plan) {}
 
-    /** What all have used: the store that counts, and how it stood before. */
+    /** What all have used: the actual bucket, and how it stood before. */
     private static final class ActualBucket {
         private final Plan plan;
         private final TreeMap<Double, Double> before = new TreeMap<>();
@@ -50,7 +51,7 @@
                     last.getValue() + plan.unitsPerSecond() * (Math.max(0, at) - last.getKey()) / 1000);
         }
 
-        /** Whether it was inside the quota; what is beyond takes nothing. */
+        /** Whether it was inside the quota; excess takes nothing from the bucket. */
         boolean take(double at) {
             boolean inside = level(at) >= 1;
             before.put(at, level(at) - (inside ? 1 : 0));
@@ -59,17 +60,17 @@
     }
 
     private static final class Outcomes {
-        double worth; // of what one who sees all tries would let in
-        double cost; // of what was let in beyond
-        int tries;
-        int refusedWithRoom;
+        double value; // of what a policy with a view of all requests would admit
+        double cost; // of what was admitted beyond the quota
+        int requests;
+        int rejectedWithCapacity;
 
-        double price() {
-            return cost / worth;
+        double excessCost() {
+            return cost / value;
         }
 
-        double withRoom() {
-            return (double) refusedWithRoom / tries;
+        double rejectedWithCapacity() {
+            return (double) rejectedWithCapacity / requests;
         }
     }
 
@@ -78,7 +79,7 @@
     }
 
     /** Most use a part of their quota, some nearly all, a few much more, each mostly at some of the gateways. */
-    private static List<ClientRequest> tries(long seed, List<Plan> plans) {
+    private static List<ClientRequest> requests(long seed, List<Plan> plans) {
         Random r = new Random(seed);
         List<ClientRequest> all = new ArrayList<>();
         for (int customer = 1; customer <= 60; customer++) {
@@ -96,43 +97,43 @@
     }
 
     private static void count(Outcomes t, ActualBucket s, ClientRequest of, boolean in) {
-        boolean room =
+        boolean hasCapacity =
                 s.level(of.at()) >= Math.max(1, of.plan().burstUnits() / 2); // as the bench counts it: half unused
-        t.tries++;
+        t.requests++;
         if (!in) {
-            t.refusedWithRoom += room ? 1 : 0;
+            t.rejectedWithCapacity += hasCapacity ? 1 : 0;
         } else if (!s.take(of.at())) {
             t.cost += of.plan().overQuotaCost();
         }
     }
 
-    private static double worth(List<ClientRequest> tries) {
+    private static double value(List<ClientRequest> requests) {
         Map<Long, ActualBucket> stores = new HashMap<>();
-        return tries.stream()
+        return requests.stream()
                 .filter(t -> stores.computeIfAbsent(t.customer(), c -> new ActualBucket(t.plan()))
                         .take(t.at()))
                 .count();
     }
 
-    private static Outcomes seenLate(List<ClientRequest> tries) {
-        Outcomes tally = new Outcomes();
-        tally.worth = worth(tries);
+    private static Outcomes playDelayedView(List<ClientRequest> requests) {
+        Outcomes outcomes = new Outcomes();
+        outcomes.value = value(requests);
         Map<Long, ActualBucket> stores = new HashMap<>();
-        for (ClientRequest t : tries) {
+        for (ClientRequest t : requests) {
             ActualBucket s = stores.computeIfAbsent(t.customer(), c -> new ActualBucket(t.plan()));
-            count(tally, s, t, s.level(t.at() - LATE_MS) >= 1);
+            count(outcomes, s, t, s.level(t.at() - DELAY_MS) >= 1);
         }
-        return tally;
+        return outcomes;
     }
 
-    /** Units that all let in during the last finished period whose figure has come, in percent of the rate, plus 1. */
+    /** Units that all admitted during the last finished period whose figure has arrived, in percent of the rate, plus 1. */
     private static int metered(List<Double> uses, Plan p, double now) {
-        double end = Math.floor((now - LATE_MS) / PERIOD_MS) * PERIOD_MS;
+        double end = Math.floor((now - DELAY_MS) / PERIOD_MS) * PERIOD_MS;
         long units = uses.stream().filter(u -> u >= end - PERIOD_MS && u < end).count();
         return 1 + (int) (100 * units * 1000 / PERIOD_MS / p.unitsPerSecond());
     }
 
-    private static Outcomes byTheFleet(long seed, List<ClientRequest> tries, List<Plan> plans) {
+    private static Outcomes playFleet(long seed, List<ClientRequest> requests, List<Plan> plans) {
         Settings s = FakeGateway.metered(0, GATEWAYS, seed);
         List<FakeGateway> fleet = new ArrayList<>();
         String[] hosts = IntStream.range(0, HOSTS).mapToObj(h -> "a" + h).toArray(String[]::new);
@@ -151,19 +152,19 @@
                     new Sharing(false, 0, PERIOD_MS, false, 1, 0, 0, 0, 0));
             fleet.add(new FakeGateway(0, own).withHosts(hosts));
         }
-        Outcomes tally = new Outcomes();
-        tally.worth = worth(tries);
+        Outcomes outcomes = new Outcomes();
+        outcomes.value = value(requests);
         Map<Long, ActualBucket> stores = new HashMap<>();
         Map<Long, List<Double>> uses = new HashMap<>();
         PriorityQueue<ClientRequest> answers = new PriorityQueue<>(Comparator.comparingDouble(ClientRequest::at));
         Map<ClientRequest, String> ids = new HashMap<>();
         int serial = 0;
-        for (ClientRequest t : tries) {
-            for (; !answers.isEmpty() && answers.peek().at() + ANSWER_MS <= t.at(); answers.poll()) {
+        for (ClientRequest t : requests) {
+            for (; !answers.isEmpty() && answers.peek().at() + RESPONSE_MS <= t.at(); answers.poll()) {
                 ClientRequest of = answers.peek();
                 FakeGateway g = fleet.get(of.gateway());
-                g.runTo(of.at() + ANSWER_MS);
-                g.end(ids.get(of), 0, Outcome.OK, ANSWER_MS, metered(uses.get(of.customer()), of.plan(), g.now));
+                g.runTo(of.at() + RESPONSE_MS);
+                g.end(ids.get(of), 0, Outcome.OK, RESPONSE_MS, metered(uses.get(of.customer()), of.plan(), g.now));
             }
             FakeGateway g = fleet.get(t.gateway());
             g.runTo(t.at());
@@ -182,26 +183,26 @@
                             0,
                             GATEWAYS));
             boolean in = g.sends(id) > 0;
-            count(tally, stores.computeIfAbsent(t.customer(), c -> new ActualBucket(t.plan())), t, in);
+            count(outcomes, stores.computeIfAbsent(t.customer(), c -> new ActualBucket(t.plan())), t, in);
             if (in) {
                 uses.computeIfAbsent(t.customer(), c -> new ArrayList<>()).add(t.at());
                 ids.put(t, id);
                 answers.add(t);
             }
         }
-        return tally;
+        return outcomes;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void whatPassesBeyondQuotasOnAQuietDayCostsLittleMoreThanIfAllWereSeenLate(long seed) {
+    void costOfExcessOnAQuietDayIsNearThatOfADelayedView(long seed) {
         List<Plan> plans = List.of(plan("low", 0.8, 4, 1.2), plan("middle", 3, 4, 0.5), plan("high", 11, 2, 0.8));
-        List<ClientRequest> tries = tries(seed, plans);
-        Outcomes fleet = byTheFleet(seed, tries, plans);
-        Outcomes late = seenLate(tries);
-        String told = "price %.3f, seen late %.3f; refused with room %.3f"
-                .formatted(fleet.price(), late.price(), fleet.withRoom());
-        assertTrue(fleet.price() <= late.price() + MORE, told);
-        assertTrue(fleet.withRoom() < REFUSED_WITH_ROOM, told);
+        List<ClientRequest> requests = requests(seed, plans);
+        Outcomes fleet = playFleet(seed, requests, plans);
+        Outcomes late = playDelayedView(requests);
+        String figures = "price %.3f, seen late %.3f; refused with hasCapacity %.3f"
+                .formatted(fleet.excessCost(), late.excessCost(), fleet.rejectedWithCapacity());
+        assertTrue(fleet.excessCost() <= late.excessCost() + COST_MARGIN, figures);
+        assertTrue(fleet.rejectedWithCapacity() < REJECTED_WITH_CAPACITY, figures);
     }
 }
--- a/src/test/java/caperrudder/policy/MeteredQuotaTest.java
+++ b/src/test/java/caperrudder/policy/MeteredQuotaTest.java
@@ -6,76 +6,77 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What one gateway of many makes of the meter's word on a customer. */
+/** What one gateway of many does with the meter's figure of a customer. */
 class MeteredQuotaTest {
     private static final int GATEWAYS = 20;
     private static final long CUSTOMER = 42;
 
-    private final FakeGateway g = new FakeGateway(1000, FakeGateway.metered(3, GATEWAYS, 7)).withHosts("a1", "a2");
+    private final FakeGateway gateway =
+            new FakeGateway(1000, FakeGateway.metered(3, GATEWAYS, 7)).withHosts("a1", "a2");
 
-    private void ask(String id, String plan, double units) {
-        g.ask(id, "read", plan, CUSTOMER, units, GATEWAYS);
+    private void request(String id, String plan, double units) {
+        gateway.ask(id, "read", plan, CUSTOMER, units, GATEWAYS);
     }
 
-    /** The meter's figure as an answer carries it. */
-    private void answered(String id, int percentUsed) {
-        g.pass(50);
-        g.end(id, 0, Outcome.OK, 50, 1 + percentUsed);
+    /** The request is served; the response carries the meter's figure. */
+    private void endWithMeterFigure(String id, int percentUsed) {
+        gateway.pass(50);
+        gateway.end(id, 0, Outcome.OK, 50, 1 + percentUsed);
     }
 
     @Test
-    void whereTheMeterShowsALimitOfOpenAttemptsUsedUpByOthersNoFurtherOneIsLetIn() {
-        ask("first", "open", 1);
-        answered("first", 150); // three were out at once, two of them others'; the limit is two
-        ask("second", "open", 1);
-        assertEquals(List.of("second"), g.refused);
+    void concurrencyLimitUsedUpByOthersAdmitsNoFurtherRequest() {
+        request("first", "open", 1);
+        endWithMeterFigure("first", 150); // three were open at once, two of them elsewhere; the limit is two
+        request("second", "open", 1);
+        assertEquals(List.of("second"), gateway.refused);
     }
 
     @Test
-    void whatOthersHadOutIsForgottenAfterAWhile() {
-        ask("first", "open", 1);
-        answered("first", 150);
-        g.pass(5100);
-        ask("second", "open", 1);
-        assertEquals(List.of(), g.refused);
+    void requestsOpenElsewhereAreForgottenAfterAWhile() {
+        request("first", "open", 1);
+        endWithMeterFigure("first", 150);
+        gateway.pass(5100);
+        request("second", "open", 1);
+        assertEquals(List.of(), gateway.refused);
     }
 
     @Test
-    void aLimitOfOpenAttemptsThatNoOtherUsesIsUsedWhole() {
-        g.ask("first", "read", "open", CUSTOMER, 1, 2);
-        answered("first", 50); // one was out: its own
+    void concurrencyLimitThatNoOtherUsesIsUsedWhole() {
+        gateway.ask("first", "read", "open", CUSTOMER, 1, 2);
+        endWithMeterFigure("first", 50); // one was open: its own
         for (String id : List.of("second", "third", "fourth")) {
-            g.ask(id, "read", "open", CUSTOMER, 1, 2);
-            g.pass(20);
+            gateway.ask(id, "read", "open", CUSTOMER, 1, 2);
+            gateway.pass(20);
         }
-        assertEquals(List.of("fourth"), g.refused);
+        assertEquals(List.of("fourth"), gateway.refused);
     }
 
     @Test
-    void whereManyMayBringACustomerTheyLetInOneAfterAnotherNoSoonerThanTheLimitBears() {
-        ask("first", "open", 1);
-        answered("first", 0); // the meter is late: it tells nothing of a spell that has begun
-        ask("second", "open", 1); // 50 ms after the first; a quarter of twenty in turn keep two places for 125
-        assertEquals(List.of("second"), g.refused);
-        g.pass(100);
-        ask("third", "open", 1);
-        assertEquals(List.of("second"), g.refused);
+    void admissionsArePacedByTheLimitInALargeReplicaSet() {
+        request("first", "open", 1);
+        endWithMeterFigure("first", 0); // the meter is late: it shows nothing of a burst that has begun
+        request("second", "open", 1); // 50 ms after the first; a quarter of twenty in turn keep two slots for 125
+        assertEquals(List.of("second"), gateway.refused);
+        gateway.pass(100);
+        request("third", "open", 1);
+        assertEquals(List.of("second"), gateway.refused);
     }
 
     @Test
-    void theOwnPartOfTheBurstIsNoWholeRequestAtEachOfManyGateways() {
-        ask("first", "small", 1);
-        answered("first", 1000);
-        ask("second", "small", 3);
-        assertEquals(List.of("second"), g.refused);
+    void shareOfTheBurstIsLessThanARequestInALargeReplicaSet() {
+        request("first", "small", 1);
+        endWithMeterFigure("first", 1000);
+        request("second", "small", 3);
+        assertEquals(List.of("second"), gateway.refused);
     }
 
     @Test
-    void othersEmptyTheStoreFromTheRateOn() {
-        ask("first", "small", 1);
-        answered("first", 130);
-        ask("second", "small", 4);
-        ask("more", "small", 3); // of seven left when told; others use what fills the store, and more
-        assertEquals(List.of("more"), g.refused);
+    void useByOthersOverTheRateEmptiesTheBucket() {
+        request("first", "small", 1);
+        endWithMeterFigure("first", 130);
+        request("second", "small", 4);
+        request("more", "small", 3); // of seven left by the figure; others use what fills the bucket, and more
+        assertEquals(List.of("more"), gateway.refused);
     }
 }
--- a/src/test/java/caperrudder/policy/OverQuotaCostUnderLoadTest.java
+++ b/src/test/java/caperrudder/policy/OverQuotaCostUnderLoadTest.java
@@ -17,17 +17,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Before hosts that slow under load, fleets that know of each other by the meter alone hold the price of what
- * passes beyond quotas near that of a policy that sees the true state of all customers late, or well under it where
+ * Before hosts that slow under load, fleets that know of each other by the meter alone hold the cost of what
+ * passes beyond quotas near that of a policy that sees the actual state of all customers late, or well under it where
  * requests differ, and serve no less.
  */
 class OverQuotaCostUnderLoadTest {
     private static final double RUN_MS = 25_000;
-    private static final double ANSWER_MS = 350; // about: by it customers of a limit on open attempts know their quota
+    private static final double RESPONSE_MS = 350; // about: by it customers with a concurrency limit know their quota
     private static final int SEEDS = 4;
-    private static final double ALLOWED = 0.1; // more than the price of the policy that sees late
+    private static final double COST_MARGIN = 0.1; // more than the cost of the policy that sees late
 
-    /** A deployment for a hundred gateways; of others, as many customers and hosts as their number asks. */
+    /** A deployment of a hundred gateways; customers and hosts scale with the number of gateways. */
     @SuppressWarnings("ArrayRecordComponent") // never compared
     record Deployment(
             List<Plan> plans,
@@ -43,12 +43,21 @@
         return new Plan(name, rate, burst, openLimit, price, 0, overCost, 0, 0, 0);
     }
 
-    private static RequestClass requestClass(String name, double aimMs, double deadlineMs, double worth) {
+    private static RequestClass requestClass(
+            String name, double objectiveMs, double deadlineMs, double priorityWeight) {
         return new RequestClass(
-                name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, aimMs, deadlineMs, worth, 0, false);
+                name,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                objectiveMs,
+                deadlineMs,
+                priorityWeight,
+                0,
+                false);
     }
 
-    /** Requests of one to four units, and a plan that limits the attempts open at once. */
+    /** Requests of one to four units, and a plan with a concurrency limit. */
     private static final Deployment SIZES = new Deployment(
             List.of(
                     plan("low", 1.1, 8, 0, 0.88, 1.2),
@@ -96,43 +105,44 @@
     private static Result[] play(Deployment d, int gateways, long seed) {
         int[] customers =
                 Arrays.stream(d.customers()).map(c -> c * gateways / 100).toArray();
-        List<QuotaSimulation.ClientRequest> tries =
-                QuotaSimulation.tries(gateways, d.plans(), customers, d.habits(), ANSWER_MS, RUN_MS, seed);
+        List<QuotaSimulation.ClientRequest> requests =
+                QuotaSimulation.requests(gateways, d.plans(), customers, d.habits(), RESPONSE_MS, RUN_MS, seed);
         Load load = new Load(d.hosts() * gateways / 100, d.cores(), d.workMsPerUnit(), d.classes());
-        LoadedQuotaSimulation seenLate = new LoadedQuotaSimulation(gateways, tries, load);
-        LoadedQuotaSimulation fleet = new LoadedQuotaSimulation(gateways, tries, load);
+        LoadedQuotaSimulation delayedView = new LoadedQuotaSimulation(gateways, requests, load);
+        LoadedQuotaSimulation fleet = new LoadedQuotaSimulation(gateways, requests, load);
         return new Result[] {
-            fleet.play(fleet.fleet(d.plans(), d.maxUnits(), seed), seed), seenLate.play(seenLate.seenLate(), seed)
+            fleet.play(fleet.fleet(d.plans(), d.maxUnits(), seed), seed),
+            delayedView.play(delayedView.delayedView(), seed)
         };
     }
 
-    private static void holds(Deployment d, int gateways, double priceOverLate) {
+    private static void assertCostHolds(Deployment d, int gateways, double costOverDelayed) {
         List<Result[]> all = LongStream.rangeClosed(1, SEEDS)
                 .mapToObj(seed -> play(d, gateways, seed))
                 .toList();
         Result fleet = Result.mean(all.stream().map(r -> r[0]).toList());
         Result late = Result.mean(all.stream().map(r -> r[1]).toList());
-        String told = fleet + "; seen late: " + late;
+        String figures = fleet + "; delayed view: " + late;
         assertAll(
-                () -> assertTrue(fleet.price() <= late.price() + priceOverLate, told),
-                () -> assertTrue(fleet.served() >= late.served(), told));
+                () -> assertTrue(fleet.excessCost() <= late.excessCost() + costOverDelayed, figures),
+                () -> assertTrue(fleet.served() >= late.served(), figures));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {20, 95, 120})
-    void whereRequestsDifferAndAPlanLimitsThoseOpenAtOnce(int gateways) {
-        holds(SIZES, gateways, -0.08);
+    void costHoldsWhereRequestsDifferAndAPlanLimitsConcurrency(int gateways) {
+        assertCostHolds(SIZES, gateways, -0.08);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {20, 95, 120})
-    void whereRequestsTakeOneUnit(int gateways) {
-        holds(ONE_UNIT, gateways, ALLOWED / 2);
+    void costHoldsWhereRequestsTakeOneUnit(int gateways) {
+        assertCostHolds(ONE_UNIT, gateways, COST_MARGIN / 2);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {20, 95, 120})
-    void whereBurstsAreSmallAndTheExcessIsCheap(int gateways) {
-        holds(SMALL_BURSTS, gateways, ALLOWED / 2);
+    void costHoldsWhereBurstsAreSmallAndExcessIsCheap(int gateways) {
+        assertCostHolds(SMALL_BURSTS, gateways, COST_MARGIN / 2);
     }
 }
--- a/src/test/java/caperrudder/policy/QuotaIntegrityTest.java
+++ b/src/test/java/caperrudder/policy/QuotaIntegrityTest.java
@@ -16,11 +16,11 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-/** The books of customers: no claim, no return and no message may fill a store, and none may be kept for good. */
+/** No claim, no return and no message may fill a customer's bucket, and none may be kept for good. */
 class QuotaIntegrityTest {
-    /** A liar once emptied the first plan's store, named another, and got both full again, time after time. */
+    /** A client once emptied the first plan's bucket, named another, and got both full again, time after time. */
     @Test
-    void anotherPlanInACustomersNameOpensNoNewBooks() {
+    void anotherPlanNamedForACustomerOpensNoNewQuota() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         int asked = 0;
         while (g.refused.isEmpty() && asked < 1000) {
@@ -34,9 +34,9 @@
         assertEquals(before + 5, g.refused.size());
     }
 
-    /** An even part of a small burst is less than one request: the first of a customer was refused at once. */
+    /** An even share of a small burst is less than one request: the first of a customer was rejected at once. */
     @Test
-    void theFirstRequestOfACustomerIsLetInHoweverManyGatewaysShareIt() {
+    void firstRequestIsAdmittedHoweverManyGatewaysShareTheCustomer() {
         Settings s = FakeGateway.settings(0, 8);
         Limits silent = new Limits(4, false, true, false, false, true, 500, 0);
         FakeGateway g = new FakeGateway(
@@ -62,9 +62,9 @@
         assertEquals(List.of("last"), g.refused);
     }
 
-    /** A client that never sends its request whole has used nothing of its quota, wherever a part of it went. */
+    /** A client that never completes its request has used nothing of its quota, wherever a part of it went. */
     @Test
-    void aRequestThatNeverCameWholeUsesNoUnits() {
+    void incompleteRequestUsesNoUnits() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         for (int i = 0; i < 20; i++) {
             g.brain.requestReceived(
@@ -77,9 +77,9 @@
         assertEquals(0, g.refused.size());
     }
 
-    /** What never reached a host is decided well before half of the client's time is over. */
+    /** What never reached a host is rejected well before half of the client's time is over. */
     @Test
-    void aRequestThatFindsNoHostIsRefusedEarly() {
+    void requestThatFindsNoHostIsRejectedEarly() {
         FakeGateway g = FakeGateway.alone();
         g.ask("r", "pay");
         g.pass(1400);
@@ -91,9 +91,9 @@
         assertEquals(List.of("r"), h.refused);
     }
 
-    /** A message whose life has yet to begin would make its sender's own words seem late for weeks. */
+    /** A message of a future incarnation would make its sender's own messages seem late for weeks. */
     @Test
-    void aLifeThatHasNotBegunSilencesNoPeer() {
+    void futureIncarnationSilencesNoPeer() {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(0, 2)).withHosts("a1");
         QuotaEntry entry = new ReplicaReport(5, 0, 0, 2, 1, 0, 1, 0, OptionalDouble.empty(), true, false);
         g.brain.peerMessageReceived(
@@ -106,16 +106,16 @@
         assertEquals(1, g.told.size());
     }
 
-    /** A gateway that forgot a customer counts its use from nought again; that gives nothing back. */
+    /** A gateway that forgot a customer counts its use from zero again; that gives nothing back. */
     @Test
-    void aCountThatBeginsAnewFillsNoStore() {
+    void restartedRunningTotalFillsNoBucket() {
         for (long customer = 1; customer < 20; customer++) {
             FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(0, 2)).withHosts("a1");
             g.pass(5000);
-            tellUse(g, customer, 1, 0);
-            tellUse(g, customer, 2, 1000); // all of the store is used elsewhere
+            reportUse(g, customer, 1, 0);
+            reportUse(g, customer, 2, 1000); // all of the bucket is used elsewhere
             g.ask("before", "read", "small", customer, 1, 2);
-            tellUse(g, customer, 3, 0);
+            reportUse(g, customer, 3, 0);
             g.ask("after", "read", "small", customer, 1, 2);
             g.pass(100);
             assertEquals(0, g.sends("before"), "customer " + customer);
@@ -123,7 +123,7 @@
         }
     }
 
-    private static void tellUse(FakeGateway g, long customer, int serial, double used) {
+    private static void reportUse(FakeGateway g, long customer, int serial, double used) {
         QuotaEntry entry = new ReplicaReport(customer, 0, 0, 2, used, 0, 1, 0, OptionalDouble.empty(), false, false);
         g.brain.peerMessageReceived(
                 g.now, 1, QuotaMessageCodec.encode(new QuotaMessage(1_000_000, 0, serial, 0, List.of(entry))));
--- a/src/test/java/caperrudder/policy/QuotaSharingTest.java
+++ b/src/test/java/caperrudder/policy/QuotaSharingTest.java
@@ -23,45 +23,45 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Admission by parts, tells between gateways, and giving of ceiling units. */
+/** Admission by demand shares, messages between gateways, and the handing over of ceiling units. */
 class QuotaSharingTest {
-    private final List<FakeGateway> all = new ArrayList<>();
+    private final List<FakeGateway> gateways = new ArrayList<>();
     private int serial;
-    private final Set<String> ended = new HashSet<>();
-    private double letIn;
-    private boolean lossy;
-    private boolean cut;
-    private boolean repeating;
+    private final Set<String> answered = new HashSet<>();
+    private double admittedUnits;
+    private boolean dropsMessages;
+    private boolean partitioned;
+    private boolean duplicatesMessages;
 
-    private void gateways(int count) {
+    private void startGateways(int count) {
         for (int i = 0; i < count; i++) {
-            all.add(new FakeGateway(1000, FakeGateway.settings(i, count)).withHosts("a1", "a2", "a3"));
+            gateways.add(new FakeGateway(1000, FakeGateway.settings(i, count)).withHosts("a1", "a2", "a3"));
         }
     }
 
-    /** Carries tells with a beat's delay and answers what was sent. */
-    private void pass(double ms) {
-        for (double end = all.get(0).now + ms; all.get(0).now < end; ) {
-            for (FakeGateway g : all) {
+    /** Delivers messages with a tick's delay and serves what was sent. */
+    private void advance(double ms) {
+        for (double end = gateways.get(0).now + ms; gateways.get(0).now < end; ) {
+            for (FakeGateway g : gateways) {
                 g.pass(10);
             }
-            for (int from = 0; from < all.size(); from++) {
-                List<FakeGateway.Told> told = List.copyOf(all.get(from).told);
-                all.get(from).told.clear();
+            for (int from = 0; from < gateways.size(); from++) {
+                List<FakeGateway.Told> told = List.copyOf(gateways.get(from).told);
+                gateways.get(from).told.clear();
                 for (FakeGateway.Told t : told) {
                     serial++;
-                    if (cut || lossy && serial % 4 == 0) {
+                    if (partitioned || dropsMessages && serial % 4 == 0) {
                         continue;
                     }
-                    for (int copy = 0; copy < (repeating ? 2 : 1); copy++) {
-                        all.get(t.peer()).brain.peerMessageReceived(all.get(t.peer()).now, from, t.data());
+                    for (int copy = 0; copy < (duplicatesMessages ? 2 : 1); copy++) {
+                        gateways.get(t.peer()).brain.peerMessageReceived(gateways.get(t.peer()).now, from, t.data());
                     }
                 }
             }
-            for (FakeGateway g : all) {
+            for (FakeGateway g : gateways) {
                 for (FakeGateway.Sent s : List.copyOf(g.sent)) {
-                    if (ended.add(s.id())) {
-                        letIn += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
+                    if (answered.add(s.id())) {
+                        admittedUnits += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
                         g.end(s.id(), 0, Outcome.OK, 5);
                     }
                 }
@@ -69,101 +69,101 @@
         }
     }
 
-    private void ask(int gateway, String plan, double units) {
-        all.get(gateway).ask("q" + serial++ + ":" + units, "read", plan, 42, units, all.size());
+    private void request(int gateway, String plan, double units) {
+        gateways.get(gateway).ask("q" + serial++ + ":" + units, "read", plan, 42, units, gateways.size());
     }
 
-    /** Units let in over so many seconds of five times the small quota, asked at the given gateways. */
+    /** Units admitted over so many seconds of five times the small quota, requested at the given gateways. */
     private double flood(int seconds, int... at) {
-        double before = letIn;
+        double before = admittedUnits;
         for (int i = 0; i < seconds * 10; i++) {
             for (int g : at) {
-                ask(g, "small", 2);
+                request(g, "small", 2);
             }
-            pass(100);
+            advance(100);
         }
-        return letIn - before;
+        return admittedUnits - before;
     }
 
     @Test
-    void oneGatewayWithAllDemandGetsTheWholeQuota() {
-        gateways(3);
-        pass(500);
+    void gatewayWithAllDemandGetsTheWholeQuota() {
+        startGateways(3);
+        advance(500);
         double units = flood(10, 1);
-        assertTrue(units >= 0.9 * (12 + 40) && units <= 12 + 40, "let in " + units);
+        assertTrue(units >= 0.9 * (12 + 40) && units <= 12 + 40, "admitted " + units);
     }
 
     @Test
-    void partsSumToOneUnderEvenDemand() {
-        gateways(3);
-        pass(500);
+    void sharesSumToOneUnderEvenDemand() {
+        startGateways(3);
+        advance(500);
         double units = flood(10, 0, 1, 2);
-        assertTrue(units >= 0.85 * (12 + 40) && units <= 1.15 * (12 + 40), "let in " + units);
+        assertTrue(units >= 0.85 * (12 + 40) && units <= 1.15 * (12 + 40), "admitted " + units);
     }
 
     @Test
-    void lostAndRepeatedTellsDoNoHarm() {
-        lossy = true;
-        repeating = true;
-        gateways(3);
-        pass(500);
+    void lostAndDuplicatedMessagesDoNoHarm() {
+        dropsMessages = true;
+        duplicatesMessages = true;
+        startGateways(3);
+        advance(500);
         double units = flood(10, 0, 1, 2);
-        assertTrue(units >= 0.8 * (12 + 40) && units <= 1.2 * (12 + 40), "let in " + units);
+        assertTrue(units >= 0.8 * (12 + 40) && units <= 1.2 * (12 + 40), "admitted " + units);
     }
 
     @Test
-    void aLargeRequestBeyondTheOwnFragmentIsLentFromTheRoom() {
-        gateways(4);
-        pass(500);
-        ask(0, "small", 4);
-        ask(0, "small", 4); // eight units: the even part of the burst is three
-        pass(300);
-        assertEquals(8, letIn);
+    void requestBeyondTheOwnShareIsGrantedFromTheSharedBucket() {
+        startGateways(4);
+        advance(500);
+        request(0, "small", 4);
+        request(0, "small", 4); // eight units: the even share of the burst is three
+        advance(300);
+        assertEquals(8, admittedUnits);
     }
 
     @Test
-    void aWideSetSharesOneQuotaThatFollowsTheTraffic() {
-        // glasopis-prod-later big-1: 45% were refused with half of the quota unused, 20% sent on beyond quotas
-        gateways(200);
-        pass(100);
+    void quotaOfALargeReplicaSetFollowsTheTraffic() {
+        // glasopis-prod-later big-1: 45% were rejected with half of the quota unused, 20% forwarded beyond quotas
+        startGateways(200);
+        advance(100);
         double spread = flood(6, 3, 50, 51, 99, 140, 199);
-        assertTrue(spread >= 0.85 * (12 + 24) && spread <= 1.1 * (12 + 24), "let in " + spread);
-        double moved = flood(6, 7, 120); // at one stroke to two others
-        assertTrue(moved >= 0.85 * 24 && moved <= 1.1 * 24, "let in after the move " + moved);
+        assertTrue(spread >= 0.85 * (12 + 24) && spread <= 1.1 * (12 + 24), "admitted " + spread);
+        double moved = flood(6, 7, 120); // at once to two others
+        assertTrue(moved >= 0.85 * 24 && moved <= 1.1 * 24, "admitted after the move " + moved);
     }
 
     @Test
-    void aKeeperThatRestartsDoesNotGrantTheBurstAgain() {
-        gateways(60);
-        pass(100);
+    void restartedOwnerDoesNotGrantTheBurstAgain() {
+        startGateways(60);
+        advance(100);
         flood(4, 5, 6, 7);
-        int keeper = RendezvousHash.rank(42, 0, 60, 60, 2)[0];
-        double now = all.get(keeper).now;
-        all.set(keeper, new FakeGateway(now, FakeGateway.settings(keeper, 60)).withHosts("a1", "a2", "a3"));
+        int owner = RendezvousHash.rank(42, 0, 60, 60, 2)[0];
+        double now = gateways.get(owner).now;
+        gateways.set(owner, new FakeGateway(now, FakeGateway.settings(owner, 60)).withHosts("a1", "a2", "a3"));
         double after = flood(4, 5, 6, 7);
-        assertTrue(after >= 0.5 * 16 && after <= 16 + 6, "let in after the restart " + after);
+        assertTrue(after >= 0.5 * 16 && after <= 16 + 6, "admitted after the restart " + after);
     }
 
     @Test
-    void aTellIsTakenOnceAndOnlyFromASetThatCanBe() {
-        gateways(3);
-        int keeper = RendezvousHash.rank(42, 0, 3, 3, 2)[0];
-        int member = keeper == 0 ? 1 : 0;
-        FakeGateway g = all.get(keeper);
+    void reportIsTakenOnceAndOnlyOfAPossibleReplicaSet() {
+        startGateways(3);
+        int owner = RendezvousHash.rank(42, 0, 3, 3, 2)[0];
+        int replica = owner == 0 ? 1 : 0;
+        FakeGateway g = gateways.get(owner);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
             QuotaEntry e = new ReplicaReport(42, 0, set[0], set[1], 0, 4, 4, 1, OptionalDouble.empty(), true, false);
             g.brain.peerMessageReceived(
-                    g.now, member, QuotaMessageCodec.encode(new QuotaMessage(500, 0, 1 + set[1], 0, List.of(e))));
+                    g.now, replica, QuotaMessageCodec.encode(new QuotaMessage(500, 0, 1 + set[1], 0, List.of(e))));
         }
         QuotaEntry plan = new ReplicaReport(42, 200, 0, 3, 0, 4, 4, 1, OptionalDouble.empty(), true, false);
         g.brain.peerMessageReceived(
-                g.now, member, QuotaMessageCodec.encode(new QuotaMessage(600, 0, 1, 0, List.of(plan))));
+                g.now, replica, QuotaMessageCodec.encode(new QuotaMessage(600, 0, 1, 0, List.of(plan))));
         g.pass(100);
         assertTrue(g.told.isEmpty());
         QuotaEntry good = new ReplicaReport(42, 0, 0, 3, 0, 4, 4, 1, OptionalDouble.empty(), true, false);
         byte[] once = QuotaMessageCodec.encode(new QuotaMessage(700, 0, 1, 0, List.of(good)));
-        g.brain.peerMessageReceived(g.now, member, once);
-        g.brain.peerMessageReceived(g.now, member, once);
+        g.brain.peerMessageReceived(g.now, replica, once);
+        g.brain.peerMessageReceived(g.now, replica, once);
         g.pass(100);
         OwnerReply answer = g.told.stream()
                 .flatMap(t -> QuotaMessageCodec.decode(t.data()).orElseThrow().entries().stream())
@@ -176,31 +176,31 @@
     }
 
     @Test
-    void withItsKeepersSilentAGatewayHasTheEvenSplit() {
-        gateways(4);
-        int[] keepers = RendezvousHash.rank(42, 0, 4, 4, 2);
-        int member = IntStream.range(0, 4)
-                .filter(g -> g != keepers[0] && g != keepers[1])
+    void gatewayWhoseOwnersAreSilentHasTheEvenShare() {
+        startGateways(4);
+        int[] owners = RendezvousHash.rank(42, 0, 4, 4, 2);
+        int replica = IntStream.range(0, 4)
+                .filter(g -> g != owners[0] && g != owners[1])
                 .findFirst()
                 .orElseThrow();
-        cut = true;
-        pass(4000);
-        double units = flood(20, member);
-        assertTrue(units >= 0.7 * 20 && units <= 1.3 * (4 + 20), "let in " + units);
-        cut = false;
-        pass(6000);
-        double healed = flood(10, member);
-        assertTrue(healed >= 0.85 * (12 + 40) && healed <= 1.1 * (12 + 40), "let in when healed " + healed);
+        partitioned = true;
+        advance(4000);
+        double units = flood(20, replica);
+        assertTrue(units >= 0.7 * 20 && units <= 1.3 * (4 + 20), "admitted " + units);
+        partitioned = false;
+        advance(6000);
+        double healed = flood(10, replica);
+        assertTrue(healed >= 0.85 * (12 + 40) && healed <= 1.1 * (12 + 40), "admitted when healed " + healed);
     }
 
     @Test
-    void damagedMessagesAreDroppedWhole() {
-        gateways(2);
-        all.get(0).ask("a", "read", "small", 42, 4, 2);
-        all.get(1).ask("b", "read", "small", 42, 4, 2);
-        all.get(0).pass(400);
-        all.get(1).pass(400);
-        byte[] good = all.stream()
+    void damagedMessageIsRejectedWhole() {
+        startGateways(2);
+        gateways.get(0).ask("a", "read", "small", 42, 4, 2);
+        gateways.get(1).ask("b", "read", "small", 42, 4, 2);
+        gateways.get(0).pass(400);
+        gateways.get(1).pass(400);
+        byte[] good = gateways.stream()
                 .flatMap(g -> g.told.stream())
                 .findFirst()
                 .orElseThrow()
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void aTellKeepsWhatItSays() {
+    void messageIsDecodedAsItWasEncoded() {
         long customer = 4569004829183723L % (1L << 33);
         QuotaEntry tell =
                 new ReplicaReport(customer, 255, 389, 390, 12.5, 3.25, 7.5, 300, OptionalDouble.of(-0.5), true, true);
@@ -226,23 +226,23 @@
     }
 
     @Test
-    void givenCeilingUnitsAreNeverMadeTwice() {
-        repeating = true;
-        gateways(4);
-        pass(3000);
+    void ceilingUnitsHandedOverAreNeverCreatedTwice() {
+        duplicatesMessages = true;
+        startGateways(4);
+        advance(3000);
         for (int i = 0; i < 100; i++) {
-            ask(0, "capped", 2);
-            ask(0, "capped", 2);
-            pass(100);
+            request(0, "capped", 2);
+            request(0, "capped", 2);
+            advance(100);
         }
-        assertTrue(letIn > 0.4 * 20 * 10, "the even quarter alone: " + letIn);
-        assertTrue(letIn <= 40 + 20 * 10, "passed the ceiling: " + letIn);
+        assertTrue(admittedUnits > 0.4 * 20 * 10, "the even quarter alone: " + admittedUnits);
+        assertTrue(admittedUnits <= 40 + 20 * 10, "passed the ceiling: " + admittedUnits);
     }
 
     @Test
-    void openAttemptsAreLimited() {
-        gateways(1);
-        FakeGateway g = all.get(0);
+    void requestsOpenAtOnceAreLimited() {
+        startGateways(1);
+        FakeGateway g = gateways.get(0);
         for (int i = 0; i < 4; i++) {
             g.ask("o" + i, "read", "open", 5, 1, 1);
         }
@@ -253,8 +253,8 @@
         assertEquals(1, g.sends("o9"));
     }
 
-    /** One of three gateways where only the meter tells; five requests have used up its even part of the store. */
-    private static int letInOfFour(int usedPct) {
+    /** One of three gateways that know of each other by the meter alone; five requests have exhausted its even share of the bucket. */
+    private static int admittedOfFour(int usedPercent) {
         Settings s = FakeGateway.settings(0, 3);
         Limits alone = new Limits(4, false, true, false, false, true, 500, 0);
         FakeGateway g = new FakeGateway(
@@ -284,7 +284,7 @@
                             Outcome.OK,
                             10,
                             true,
-                            1 + (i == 4 ? usedPct : 0),
+                            1 + (i == 4 ? usedPercent : 0),
                             0,
                             new double[0]));
         }
@@ -295,17 +295,17 @@
         return g.sent.size() - before;
     }
 
-    /** A customer gathered on one gateway was refused there while the whole store was nearly full. */
+    /** A customer gathered on one gateway was rejected there while the whole bucket was nearly full. */
     @Test
-    void whatTheMeterShowsUnusedIsLetInBesideThePart() {
-        assertEquals(4, letInOfFour(0));
-        assertEquals(0, letInOfFour(250));
+    void unitsThatTheMeterShowsUnusedAreAdmittedBesideTheShare() {
+        assertEquals(4, admittedOfFour(0));
+        assertEquals(0, admittedOfFour(250));
     }
 
     @Test
-    void beyondTheQuotaIsRefusedAtOnce() {
-        gateways(1);
-        FakeGateway g = all.get(0);
+    void requestBeyondTheQuotaIsRejectedAtOnce() {
+        startGateways(1);
+        FakeGateway g = gateways.get(0);
         for (int i = 0; i < 5; i++) {
             g.ask("o" + i, "read", "small", 5, 4, 1);
         }
@@ -313,17 +313,17 @@
         assertEquals(List.of("o3", "o4"), g.refused);
     }
 
-    /** A life's number is cut from Unix time and runs over; a peer that starts after that is still the later one. */
+    /** An incarnation is cut from Unix time and wraps around; a peer that starts after that is still the later one. */
     @Test
-    void aPeersNextLifeIsHeardAlsoWhereItsNumberHasRunOver() {
+    void nextIncarnationIsAcceptedWhereItsNumberHasWrapped() {
         FakeGateway g = new FakeGateway(Integer.MAX_VALUE, FakeGateway.settings(0, 2)).withHosts("a1");
         QuotaEntry e = new ReplicaReport(42, 0, 0, 2, 0, 4, 4, 1, OptionalDouble.empty(), true, false);
-        for (int life : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
+        for (int incarnation : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
             int before = g.told.size();
             g.brain.peerMessageReceived(
-                    g.now, 1, QuotaMessageCodec.encode(new QuotaMessage(life, 0, 1, 0, List.of(e))));
+                    g.now, 1, QuotaMessageCodec.encode(new QuotaMessage(incarnation, 0, 1, 0, List.of(e))));
             g.pass(200);
-            assertTrue(g.told.size() > before, "no answer to life " + life);
+            assertTrue(g.told.size() > before, "no answer to incarnation " + incarnation);
         }
     }
 }
--- a/src/test/java/caperrudder/policy/QuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/QuotaSimulation.java
@@ -16,48 +16,55 @@
 import java.util.stream.IntStream;
 
 /**
- * Customers of a fleet, the true state of their quotas, and a meter that tells of it late. Who lets in is played
- * against it: the real modules, or one that sees the true state late.
+ * Customers of a fleet, the actual state of their quotas, and a meter that reports it late. Admission is played
+ * against it: by the real policy, or by one that sees the actual state late.
  */
 final class QuotaSimulation {
     static final double PERIOD_MS = 1000; // of the meter
-    static final double LATE_MS = 800; // from a period's end to its figure; also how late the other policy sees
+    static final double DELAY_MS = 800; // from a period's end to its figure; also the delay of the other policy's view
     private static final int HOSTS_PER_GATEWAY = 4; // enough that only quotas decide
-    private static final double COMES_AGAIN = 0.8; // share of the refused that try once more
-    private static final double BACKOFF_MS = 50; // before the first further try; doubles
+    private static final double RETRY_SHARE = 0.8; // of the rejected clients
+    private static final double BACKOFF_MS = 50; // before the first retry; doubles
 
-    /** One try: {@code spread} gateways from {@code first} on may get it, and this gateway did. */
+    /** A request: {@code replicaCount} gateways from {@code firstReplica} on may receive it, and {@code gateway} did. */
     record ClientRequest(
-            double at, int gateway, long customer, Plan plan, double units, int first, int spread, int further) {
-        double worth() {
+            double at,
+            int gateway,
+            long customer,
+            Plan plan,
+            double units,
+            int firstReplica,
+            int replicaCount,
+            int retriesLeft) {
+        double value() {
             return plan.valueFactor() * units;
         }
     }
 
-    /** Decides on a try when it comes, and is told of the end of those let in, with the meter's word. */
+    /** Decides on a request when it arrives, and is notified of the end of those admitted, with the meter's figure. */
     interface Admission {
         boolean admits(ClientRequest t);
 
-        default void ended(ClientRequest t, double at, int usedPct) {}
+        default void responded(ClientRequest t, double at, int usedPercent) {}
     }
 
-    /** Shares of the worth that one who sees all first tries would let in. */
-    record Result(double served, double price, double withRoom) {
+    /** Shares of the value that a policy with a view of all first requests would admit. */
+    record Result(double served, double excessCost, double rejectedWithCapacity) {
         double net() {
-            return served - price;
+            return served - excessCost;
         }
     }
 
     private final int gateways;
-    private final List<ClientRequest> tries;
-    private final double answerMs;
+    private final List<ClientRequest> requests;
+    private final double responseMs;
     private final Map<Long, ActualUse> uses = new HashMap<>();
 
-    /** {@code answerMs}: how long an attempt is out. */
-    QuotaSimulation(int gateways, List<ClientRequest> tries, double answerMs) {
+    /** {@code responseMs}: how long an attempt is open. */
+    QuotaSimulation(int gateways, List<ClientRequest> requests, double responseMs) {
         this.gateways = gateways;
-        this.tries = tries;
-        this.answerMs = answerMs;
+        this.requests = requests;
+        this.responseMs = responseMs;
     }
 
     private ActualUse use(ClientRequest t) {
@@ -66,63 +73,70 @@
 
     private record End(double at, ClientRequest of) {}
 
-    private double worthInside() {
-        QuotaSimulation all = new QuotaSimulation(gateways, tries, answerMs);
+    private double valueInside() {
+        QuotaSimulation all = new QuotaSimulation(gateways, requests, responseMs);
         PriorityQueue<End> ends = new PriorityQueue<>(Comparator.comparingDouble(End::at));
-        double worth = 0;
-        for (ClientRequest t : tries) {
+        double value = 0;
+        for (ClientRequest t : requests) {
             for (; !ends.isEmpty() && ends.peek().at() <= t.at(); ends.poll())
                 all.use(ends.peek().of()).ended(ends.peek().at());
-            if (!all.use(t).holds(t.at(), t.units())) continue;
+            if (!all.use(t).admits(t.at(), t.units())) continue;
             all.use(t).take(t.at(), t.units());
-            ends.add(new End(t.at() + answerMs, t));
-            worth += t.worth();
+            ends.add(new End(t.at() + responseMs, t));
+            value += t.value();
         }
-        return worth;
+        return value;
     }
 
-    /** Plays all tries, and the further ones of those that are refused. */
+    /** Plays all requests, and the retries of those that are rejected. */
     Result play(Admission policy, long seed) {
         uses.clear();
         Random random = new Random(seed);
         PriorityQueue<ClientRequest> coming = new PriorityQueue<>(Comparator.comparingDouble(ClientRequest::at));
-        coming.addAll(tries);
+        coming.addAll(requests);
         PriorityQueue<End> ends = new PriorityQueue<>(Comparator.comparingDouble(End::at));
         double served = 0;
         double cost = 0;
         int made = 0;
-        int withRoom = 0;
+        int rejectedWithCapacity = 0;
         while (!coming.isEmpty()) {
             ClientRequest t = coming.poll();
             for (; !ends.isEmpty() && ends.peek().at() <= t.at(); ends.poll()) {
                 End e = ends.peek();
                 use(e.of()).ended(e.at());
-                policy.ended(e.of(), e.at(), use(e.of()).metered(e.at()));
+                policy.responded(e.of(), e.at(), use(e.of()).metered(e.at()));
             }
             made++;
-            boolean room = use(t).halfUnused(t.at(), t.units());
+            boolean hasCapacity = use(t).isHalfUnused(t.at(), t.units());
             if (policy.admits(t)) {
-                if (use(t).take(t.at(), t.units())) served += t.worth();
-                else cost += t.worth() * t.plan().overQuotaCost();
-                ends.add(new End(t.at() + answerMs, t));
+                if (use(t).take(t.at(), t.units())) served += t.value();
+                else cost += t.value() * t.plan().overQuotaCost();
+                ends.add(new End(t.at() + responseMs, t));
                 continue;
             }
-            withRoom += room ? 1 : 0;
-            if (t.further() == 0 || random.nextDouble() > COMES_AGAIN) continue;
-            int other = (t.first() + random.nextInt(t.spread())) % gateways;
-            double wait = BACKOFF_MS * Math.pow(2, 2 - t.further()) * (0.5 + random.nextDouble());
+            rejectedWithCapacity += hasCapacity ? 1 : 0;
+            if (t.retriesLeft() == 0 || random.nextDouble() > RETRY_SHARE) continue;
+            int other = (t.firstReplica() + random.nextInt(t.replicaCount())) % gateways;
+            double wait = BACKOFF_MS * Math.pow(2, 2 - t.retriesLeft()) * (0.5 + random.nextDouble());
             coming.add(new ClientRequest(
-                    t.at() + wait, other, t.customer(), t.plan(), t.units(), t.first(), t.spread(), t.further() - 1));
+                    t.at() + wait,
+                    other,
+                    t.customer(),
+                    t.plan(),
+                    t.units(),
+                    t.firstReplica(),
+                    t.replicaCount(),
+                    t.retriesLeft() - 1));
         }
-        double worth = worthInside();
-        return new Result(served / worth, cost / worth, (double) withRoom / made);
+        double value = valueInside();
+        return new Result(served / value, cost / value, (double) rejectedWithCapacity / made);
     }
 
-    Admission seenLate() {
-        return t -> use(t).holds(t.at() - LATE_MS, t.units());
+    Admission delayedView() {
+        return t -> use(t).admits(t.at() - DELAY_MS, t.units());
     }
 
-    /** The real modules, one a gateway, before hosts that have room for all. */
+    /** The real policy, one a gateway, before hosts with capacity for all. */
     Admission fleet(List<Plan> plans, double maxUnits, long seed) {
         Settings s = FakeGateway.metered(0, gateways, seed);
         List<FakeGateway> fleet = new ArrayList<>();
@@ -163,18 +177,18 @@
                                 t.customer(),
                                 t.plan().name(),
                                 t.units(),
-                                t.first(),
-                                t.spread()));
+                                t.firstReplica(),
+                                t.replicaCount()));
                 boolean in = g.sends(id) > 0;
                 if (in) ids.put(t, id);
                 return in;
             }
 
             @Override
-            public void ended(ClientRequest t, double at, int usedPct) {
+            public void responded(ClientRequest t, double at, int usedPercent) {
                 FakeGateway g = fleet.get(t.gateway());
                 g.runTo(at);
-                g.end(ids.get(t), 0, Outcome.OK, answerMs, usedPct);
+                g.end(ids.get(t), 0, Outcome.OK, responseMs, usedPercent);
             }
         };
     }
@@ -189,15 +203,15 @@
             ToDoubleFunction<Random> units) {}
 
     /**
-     * Most customers use a part of their quota, some nearly all, some ask far more for seconds or all the time;
-     * each comes in mostly by some gateways of its set.
+     * Most customers use a part of their quota, some nearly all, some request far more for seconds or all the time;
+     * each arrives mostly at some gateways of its replica set.
      */
-    static List<ClientRequest> tries(
+    static List<ClientRequest> requests(
             int gateways,
             List<Plan> plans,
             int[] customers,
             CustomerBehaviour habits,
-            double answerMs,
+            double responseMs,
             double runMs,
             long seed) {
         Random r = new Random(seed);
@@ -205,8 +219,9 @@
         long customer = 0;
         for (int p = 0; p < customers.length; p++) {
             Plan plan = plans.get(p);
-            double quota =
-                    plan.unitsPerSecond() > 0 ? plan.unitsPerSecond() : plan.concurrencyLimit() * 1000 / answerMs / 2.5;
+            double quota = plan.unitsPerSecond() > 0
+                    ? plan.unitsPerSecond()
+                    : plan.concurrencyLimit() * 1000 / responseMs / 2.5;
             for (int i = 0; i < customers[p]; i++) {
                 customer++;
                 double kind = r.nextDouble();
--- a/src/test/java/caperrudder/policy/SnapshotRestoreTest.java
+++ b/src/test/java/caperrudder/policy/SnapshotRestoreTest.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the next process of a gateway makes of the books of the last one. */
+/** What the next process of a gateway restores from the snapshot of the last one. */
 class SnapshotRestoreTest {
     private static final int BURST = (int) FakeGateway.SMALL.burstUnits();
 
-    private static int use(FakeGateway g, String name, int count) {
+    private static int serve(FakeGateway g, String name, int count) {
         for (int i = 0; i < count; i++) {
             g.ask(name + i, "read", "small", 1, 1, 1);
             if (g.sends(name + i) > 0) g.end(name + i, 0, Outcome.OK, 10);
@@ -23,48 +23,48 @@
         return (int) g.sent.stream().filter(s -> s.id().startsWith(name)).count();
     }
 
-    private static FakeGateway next(FakeGateway last) {
+    private static FakeGateway successorOf(FakeGateway last) {
         FakeGateway g = new FakeGateway(last.now, FakeGateway.settings(0, 1)).withHosts("a1", "b1");
         g.brain.restoreSnapshot(g.now, last.brain.takeSnapshot(last.now));
         return g;
     }
 
-    /** Else every upgrade would give each customer its whole store again. */
+    /** Else every upgrade would fill each customer's bucket again. */
     @Test
-    void aStoreThatWasUsedUpStaysSo() {
+    void exhaustedBucketStaysExhausted() {
         FakeGateway old = FakeGateway.alone().withHosts("a1", "b1");
-        assertEquals(BURST, use(old, "o", BURST + 3));
-        FakeGateway g = next(old);
-        assertEquals(0, use(g, "n", 3));
+        assertEquals(BURST, serve(old, "o", BURST + 3));
+        FakeGateway g = successorOf(old);
+        assertEquals(0, serve(g, "n", 3));
         g.pass(1000);
-        assertEquals((int) FakeGateway.SMALL.unitsPerSecond(), use(g, "m", BURST));
+        assertEquals((int) FakeGateway.SMALL.unitsPerSecond(), serve(g, "m", BURST));
     }
 
-    /** The old process goes on for a while; what it lets in is told as a running total and charged once. */
+    /** The old process goes on for a while; what it admits is reported as a running total and charged once. */
     @Test
-    void whatTheOtherProcessStillUsesIsChargedOnce() {
+    void useByTheOtherProcessIsChargedOnce() {
         FakeGateway old = FakeGateway.alone().withHosts("a1", "b1");
-        assertEquals(2, use(old, "o", 2));
-        FakeGateway g = next(old);
-        assertEquals(3, use(g, "n", 3));
-        assertEquals(4, use(old, "p", 4));
+        assertEquals(2, serve(old, "o", 2));
+        FakeGateway g = successorOf(old);
+        assertEquals(3, serve(g, "n", 3));
+        assertEquals(4, serve(old, "p", 4));
         for (int i = 0; i < 3; i++) g.brain.restoreSnapshot(g.now, old.brain.takeSnapshot(old.now));
-        assertEquals(BURST - 2 - 3 - 4, use(g, "m", BURST));
+        assertEquals(BURST - 2 - 3 - 4, serve(g, "m", BURST));
     }
 
-    /** Customers that this process met before the books came keep what they used here, too. */
+    /** Customers that this process met before the snapshot arrived keep what they used here, too. */
     @Test
-    void booksThatComeLateAddToWhatWasUsedHere() {
+    void lateSnapshotAddsToWhatWasUsedHere() {
         FakeGateway old = FakeGateway.alone().withHosts("a1", "b1");
-        assertEquals(5, use(old, "o", 5));
+        assertEquals(5, serve(old, "o", 5));
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-        assertEquals(4, use(g, "n", 4));
+        assertEquals(4, serve(g, "n", 4));
         g.brain.restoreSnapshot(g.now, old.brain.takeSnapshot(old.now));
-        assertEquals(BURST - 9, use(g, "m", BURST));
+        assertEquals(BURST - 9, serve(g, "m", BURST));
     }
 
     @Test
-    void aHostThatFailedIsAvoidedFromTheStart() {
+    void failedHostIsAvoidedFromTheStart() {
         FakeGateway old = FakeGateway.alone().withHosts("a1", "b1");
         assertEquals(new ClusterHealth(2, 0), old.brain.clusterHealth(old.now));
         for (int i = 0; i < 40; i++) {
@@ -73,12 +73,12 @@
             old.end("o" + i, 0, dead ? Outcome.CONNECT_FAILED : Outcome.OK, 10);
         }
         assertEquals(new ClusterHealth(2, 1), old.brain.clusterHealth(old.now));
-        assertEquals(new ClusterHealth(2, 1), next(old).brain.clusterHealth(old.now));
+        assertEquals(new ClusterHealth(2, 1), successorOf(old).brain.clusterHealth(old.now));
     }
 
     /** Weights are shares of one whole: those of other classes cannot be mixed with own ones. */
     @Test
-    void booksOfOtherClassesAndPlansChangeNothing() {
+    void snapshotOfOtherClassesAndPlansChangesNothing() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
         g.brain.restoreSnapshot(
                 g.now,
@@ -91,6 +91,6 @@
                                 new HealthSnapshot("a1", "none", 12, g.now, 3)),
                         List.of(new ClassSnapshot("none", 1, 1, 1, 1, 1, 1))));
         assertEquals(new ClusterHealth(2, 0), g.brain.clusterHealth(g.now));
-        assertEquals(BURST, use(g, "n", BURST));
+        assertEquals(BURST, serve(g, "n", BURST));
     }
 }
