--- a/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
+++ b/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Counts, batches and sends the messages to other gateways within what these take in, and tells which messages of
- * theirs are new. What a message says of a customer is another's to decide.
+ * Counts, batches and sends the messages to other gateways within what these take in, and accepts those of theirs
+ * that are new. What a message says of a customer is another's to decide.
  *
  * <p>Not thread-safe.
  */
@@ -54,7 +54,7 @@
         return (int) (long) now;
     }
 
-    /** This life of the gateway, as its messages name it. */
+    /** This incarnation of the gateway, as its messages name it. */
     int incarnation() {
         return incarnation;
     }
--- a/src/main/java/caperrudder/policy/gossip/PeerState.java
+++ b/src/main/java/caperrudder/policy/gossip/PeerState.java
@@ -28,7 +28,7 @@
         return number;
     }
 
-    /** The peer's present life, by the time of its start; 0 before its first message. */
+    /** The peer's present incarnation, by the time of its start; 0 before its first message. */
     int incarnation() {
         return incarnation;
     }
@@ -56,7 +56,7 @@
         silentUntil = at;
     }
 
-    /** Whether a message came in time and for the first time, as far as the one before it tells. */
+    /** Whether a message came in time and for the first time, as far as the one before it shows. */
     boolean isNews(QuotaMessage message) {
         if (!met) return true;
         return message.senderIncarnation() == incarnation
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -102,7 +102,7 @@
         return replication.release(quota);
     }
 
-    /** Writes entries as they leave, so that they tell the latest. */
+    /** Writes entries as they leave, so that they report the latest. */
     private final class Entries implements GossipOutbox.EntryWriter {
         @Override
         public ReplicaReport report(double now, PeerState owner, ReplicatedQuota kept) {
--- a/src/main/java/caperrudder/policy/gossip/QuotaMessage.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaMessage.java
@@ -5,8 +5,8 @@
 /**
  * A message from one gateway to another.
  *
- * @param senderIncarnation the sender's present life, by the time of its start
- * @param receiverIncarnation the life of the receiver that the sender knows of; 0 before any
+ * @param senderIncarnation of the sender, by the time of its start
+ * @param receiverIncarnation of the receiver, as the sender knows it; 0 before any
  * @param serial the sender's own count of messages to the receiver, modulo 65,536
  * @param acknowledgedSerial of the last message that the sender had from the receiver
  */
--- a/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
@@ -63,7 +63,7 @@
         return last || !isUncertain(now, quota);
     }
 
-    /** An owner new to its incarnation does not know what was used before, until told or until it cannot matter. */
+    /** An owner new to its incarnation does not know what was used before, until informed or until it cannot matter. */
     boolean isUncertain(double now, CustomerQuota quota) {
         double filled = (now - startedAt) / MS_PER_SECOND * quota.plan().unitsPerSecond();
         return !quota.isInformed() && filled < quota.plan().burstUnits();
--- a/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
@@ -38,7 +38,7 @@
         if (quota == null) return;
         quotas.refill(now, quota);
         ReplicatedQuota kept = replication.of(quota);
-        if (quota.planNumber() != reply.planNumber()) { // one of the two was told a wrong plan: this grants nothing
+        if (quota.planNumber() != reply.planNumber()) { // one of the two received a wrong plan: this grants nothing
             kept.askedOf(owner).forEach(request -> request.applicant().decided(now, false));
             return;
         }
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -62,8 +62,8 @@
         boolean single = quota.replicaCount() == 1;
         if (!excessPays && metered && !single && !oddsAdmit(now, quota, request)) return AdmissionVerdict.REJECT;
         boolean mayAsk = peers && !single;
-        boolean room = !limited || hasRoom(now, quota, units, mayAsk);
-        if (room && quota.ceilingAdmits(units)) return AdmissionVerdict.ADMIT; // rule 5: own units need no peer
+        boolean fits = !limited || hasCapacity(now, quota, units, mayAsk);
+        if (fits && quota.ceilingAdmits(units)) return AdmissionVerdict.ADMIT; // rule 5: own units need no peer
         return mayAsk ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REJECT;
     }
 
@@ -90,7 +90,7 @@
         return quota.ownerReplyAgeMs(now) < REPLY_FRESH_MS;
     }
 
-    private boolean hasRoom(double now, CustomerQuota quota, double units, boolean mayAsk) {
+    private boolean hasCapacity(double now, CustomerQuota quota, double units, boolean mayAsk) {
         if (!mayAsk) return quota.localHolds(units) || metered && quota.meter().admits(now, units);
         if (owners.decidesLocally(now, quota)) return true; // the shared bucket is its own, and holds the units
         if (!isReplyFresh(now, quota)) return false;
@@ -106,7 +106,7 @@
         return perSecond * age / MS_PER_SECOND * 2 * cost / (1 + cost);
     }
 
-    /** Whether a request is worth its odds of being beyond the quota, which the meter alone tells of. */
+    /** Whether a request is worth its odds of being beyond the quota, which the meter alone shows. */
     private boolean oddsAdmit(double now, CustomerQuota quota, QuotaRequest request) {
         double takenFromOthers = DELAYED_REQUESTS * overdueShare.getAsDouble();
         MeteredUse meter = quota.meter();
--- a/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
@@ -5,7 +5,7 @@
 /**
  * The odds that a request which this gateway admits is beyond its customer's quota, and what they make the request
  * worth. Where gateways learn of each other by the meter alone, one of many meets most customers for the first time:
- * it knows nothing of them, but responses tell how often such requests of their plan turned out beyond.
+ * it knows nothing of them, but responses show how often such requests of their plan turned out beyond.
  *
  * <p>Not thread-safe.
  */
@@ -15,7 +15,7 @@
     private static final double FADE_MS = 60_000; // odds that no response confirms fade: requests are admitted again
     private static final double KNOWN_PERIODS = 1.5; // of the meter: so soon its figure of a customer ages
     private static final double RETRY_VALUE = 0.15; // of its value: what a rejected client still gets by its retry
-    private static final double MARGIN = 0.15; // of the value about nought, in which a part is admitted
+    private static final double MARGIN = 0.15; // of the value about zero, in which some are admitted
     private static final double LEAST_SHARE = 0.05; // admitted whatever the odds, so that they are learned anew
     private static final double EMPTY_SHARE = 0.75; // of the time over its rate in which a bucket is empty already
     private static final double PEAK_OF_MEAN = 2; // open requests: the peak of a period as a multiple of their mean
@@ -34,7 +34,7 @@
         this.knownMs = KNOWN_PERIODS * meterPeriodMs;
     }
 
-    /** Whether the gateway knows so little of a customer by now that its next response tells of its plan. */
+    /** Whether the gateway knows so little of a customer by now that its next response counts for its plan. */
     boolean isUnknown(double figureAgeMs) {
         return figureAgeMs > knownMs;
     }
@@ -76,7 +76,7 @@
         return beyondQuota * Math.exp(-(now - learnedAt) / FADE_MS);
     }
 
-    /** In a bucket that is nearly empty more units find no room more often; open requests all count one. */
+    /** In a bucket that is nearly empty more units find no space more often; open requests all count one. */
     private double unknownBeyond(double now, double units) {
         double mean = faded(now);
         return plan.unitsPerSecond() > 0 ? Math.min(1, mean * units / meanUnits) : mean;
--- a/src/main/java/caperrudder/policy/quota/CeilingBucket.java
+++ b/src/main/java/caperrudder/policy/quota/CeilingBucket.java
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Units come from another gateway, told as running totals.
+     * Units come from another gateway, reported as running totals.
      *
      * @param givenInAll units that it gave so far
      * @param takenBefore those of them that are counted here already
--- a/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
@@ -23,7 +23,7 @@
     private double nextAdmissionAt = Double.NEGATIVE_INFINITY;
     private double peakValidUntil = Double.NEGATIVE_INFINITY;
 
-    /** @param metered whether the meter alone tells of other gateways */
+    /** @param metered whether the use by other gateways is known by the meter alone */
     ConcurrencyQuota(Plan plan, int replicaCount, boolean metered) {
         this.limit = plan.concurrencyLimit();
         this.replicaCount = replicaCount;
@@ -57,7 +57,7 @@
     }
 
     /**
-     * A request was admitted. Where the meter alone tells of others, a gateway that admits one after another counts on
+     * A request was admitted. Where others are known by the meter alone, one that admits request after request counts on
      * many that do the same: the next one is admitted no sooner than if some of the set in turn kept the limit in use.
      *
      * @param expectedMs time that the request is expected to be open
--- a/src/main/java/caperrudder/policy/quota/CustomerQuota.java
+++ b/src/main/java/caperrudder/policy/quota/CustomerQuota.java
@@ -205,7 +205,7 @@
     }
 
     /**
-     * Whether the request may be admitted without an owner's word: by the shared bucket where this gateway decides
+     * Whether the request may be admitted without an owner's decision: by the shared bucket where this gateway decides
      * for all, else by its own share.
      */
     public boolean admitsUndecided(double units, boolean decidesForAll) {
@@ -309,7 +309,7 @@
         ceiling.handOver(units);
     }
 
-    /** Ceiling units come from an owner, told as running totals. */
+    /** Ceiling units come from an owner, reported as running totals. */
     public void receiveCeiling(double givenInAll, double takenBefore) {
         ceiling.receive(givenInAll, takenBefore);
     }
--- a/src/main/java/caperrudder/policy/quota/MeteredUse.java
+++ b/src/main/java/caperrudder/policy/quota/MeteredUse.java
@@ -10,7 +10,7 @@
  * <p>Not thread-safe.
  */
 final class MeteredUse {
-    private static final double FIGURE_KEPT_MS = 20_000; // an older figure tells nothing any more
+    private static final double FIGURE_KEPT_MS = 20_000; // an older figure is ignored
     private static final double FIGURE_FRESH_MS = 1000; // what others use counts only while a figure is this fresh
     private static final double FIGURE_LAG_MS = 1300; // a figure's age on arrival: half its period and the way
     private static final double SPARE_MULTIPLE = 2; // times a request's units in the bucket, without a fresh figure
@@ -56,7 +56,7 @@
         ownPerSecond *= factor;
     }
 
-    /** What was admitted beyond the quota took nothing from the bucket: others do not empty it below nought. */
+    /** What was admitted beyond the quota took nothing from the bucket: others do not empty it below zero. */
     void refill(double now, double seconds) {
         double others = ageMs(now) < FIGURE_KEPT_MS ? othersPerSecond : 0;
         bucket.add((plan.unitsPerSecond() - others) * seconds);
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Room in the whole bucket. Among many gateways each meets a customer seldom, and its share of the bucket is less
+     * Capacity left in the whole bucket. Among many gateways each meets a customer seldom, and its share of it is less
      * than a request: if all waited for a fresh figure, all would reject one whose bucket is full. So what others use
      * is held against it only while the last figure is fresh and over the rate.
      */
--- a/src/main/java/caperrudder/policy/quota/OwnerLocator.java
+++ b/src/main/java/caperrudder/policy/quota/OwnerLocator.java
@@ -1,7 +1,7 @@
 package caperrudder.policy.quota;
 
 /**
- * Tells which gateways own a customer's quota. Owners keep the quota for its whole replica set, the gateways that may
+ * Finds the owners of a customer's quota. They keep the quota for its whole replica set, the gateways that may
  * receive the customer's requests.
  */
 public interface OwnerLocator {
--- a/src/main/java/caperrudder/policy/quota/QuotaTable.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaTable.java
@@ -104,7 +104,7 @@
         quota.refill(now, share, localCapacity(quota.plan(), share));
     }
 
-    /** The burst times the share, and room for one request, or the bucket could admit none. */
+    /** The burst times the share, and at least one request, or the bucket could admit none. */
     private double localCapacity(Plan plan, double share) {
         return Math.max(
                 share * plan.burstUnits(),
--- a/src/main/java/caperrudder/policy/quota/TokenBucket.java
+++ b/src/main/java/caperrudder/policy/quota/TokenBucket.java
@@ -1,7 +1,7 @@
 package caperrudder.policy.quota;
 
 /**
- * A level of units between a floor and a capacity. The floor may be negative: a level below nought is a debt that
+ * A level of units between a floor and a capacity. The floor may be negative: a level below zero is a debt that
  * refilling pays off first.
  *
  * <p>Not thread-safe.
@@ -42,7 +42,7 @@
         add(-units);
     }
 
-    /** Takes units for which the bucket was found to have room. */
+    /** Takes units for which the bucket was found to hold them. */
     void takeUnchecked(double units) {
         level -= units;
     }
