--- a/src/main/java/caperrudder/server/upstream/HealthChecker.java
+++ b/src/main/java/caperrudder/server/upstream/HealthChecker.java
@@ -44,7 +44,7 @@
     private FullHttpRequest request() {
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-        request.headers().set(HttpHeaderNames.HOST, UpstreamClient.HOST);
+        request.headers().set(HttpHeaderNames.HOST, ForwardedRequestWriter.HOST);
         return request;
     }
 
--- a/src/main/java/caperrudder/server/upstream/UpstreamConnection.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamConnection.java
@@ -1,181 +1,120 @@
 package caperrudder.server.upstream;
 
 import caperrudder.api.Outcome;
-import caperrudder.server.http.MessageBodies;
 import caperrudder.server.http.RequestBody;
-import caperrudder.server.http.StrictHeaders;
 import caperrudder.server.runtime.Clock;
 import caperrudder.server.runtime.FatalErrorHandler;
 import caperrudder.server.runtime.StreamBufferBudget;
 import caperrudder.server.runtime.Transport;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpDecoderConfig;
-import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseDecoder;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpStatusClass;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.AsciiString;
 import io.netty.util.ReferenceCountUtil;
-import io.netty.util.concurrent.Future;
-import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to a host. It carries one exchange at a time, puts its answer together, and goes back to its pool
- * only when nothing stands on it beyond that answer: what a host sends unasked would be taken for the next answer.
+ * One connection to a host. It carries one exchange at a time, and goes back to its pool only when nothing stands on
+ * it beyond that exchange's response: what a host sends unasked would be taken for the next response. On the event
+ * loop only.
  */
-public final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-    private static final String NEVER_RAN = "X-Never-Ran";
-    private static final long STALL_MS = 250; // without a byte, an answer that has begun is none
-    private static final long PASSED_STALL_MS = 5000; // one that is passed on already has nothing to lose
-    private static final long HOLD_MS = 1000; // what comes in pieces for longer than this is passed on as it comes
-    private static final int INTERIM_MAX = 16; // 1xx answers ahead of one
-
-    /** Where a connection rests between exchanges. */
-    interface Home {
-        boolean closed();
-
-        void resting(UpstreamConnection c);
-
-        void gone(UpstreamConnection c);
-    }
-
-    private final Home home;
+final class UpstreamConnection extends ChannelInboundHandlerAdapter {
+    private final ConnectionPool pool;
     private final Clock clock;
-    private final StreamBufferBudget budget;
-    private final Decoder decoder = new Decoder();
+    private final HostResponseDecoder decoder = new HostResponseDecoder(this);
+    private final RequestUpload upload = new RequestUpload(this);
+    private final ResponseAssembler response;
+    private final StallWatch stallWatch;
     private Channel channel;
-    private UpstreamExchange exchange;
-    private boolean written; // the request's last byte has left
-    private boolean begun; // of the answer, something has come
-    private HttpResponse head;
-    private ByteBuf body = Unpooled.EMPTY_BUFFER;
-    private int interim;
-    private boolean clean; // answered, and nothing has come since
-    private int passedFrom; // so many bytes of the answer on
-    private long passedBytes;
-    private boolean passing; // the answer goes on as it comes
-    private RequestBody upload; // of the request, where it goes on as it comes
-    private boolean pumping;
-    private boolean left; // of that body, a part
-    private double begunAt;
-    private double progressAt;
-    private Future<?> stall;
-    private double idleSince;
-
-    UpstreamConnection(Home home, Clock clock, StreamBufferBudget budget) {
-        this.home = home;
+    private UpstreamExchange exchange; // null between exchanges
+    private boolean requestSent; // its last byte has left
+    private boolean responseBegun; // something of it has come
+    private boolean reusable; // answered, and nothing has come since
+    private double idleSinceMs;
+
+    UpstreamConnection(ConnectionPool pool, Clock clock, StreamBufferBudget budget) {
+        this.pool = pool;
         this.clock = clock;
-        this.budget = budget;
+        this.response = new ResponseAssembler(this, budget);
+        this.stallWatch = new StallWatch(this, clock);
     }
 
-    /** Reads answers; their lines may hold anything but what leaves their length open. */
-    private final class Decoder extends HttpResponseDecoder {
-        Decoder() {
-            super(new HttpDecoderConfig().setHeadersFactory(StrictHeaders.ofResponses()));
-        }
-
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-            if (exchange == null) { // nobody asked, or nobody waits any more: also half a message is one too many
-                ReferenceCountUtil.release(bytes);
-                close();
-                return;
-            }
-            progressAt = clock.now();
-            begunAt = begun ? begunAt : progressAt;
-            begun = true;
-            super.channelRead(ctx, bytes);
-        }
+    void attach(Channel connecting) {
+        channel = connecting;
+        connecting.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
+    }
 
-        /** The decoder takes a line with a blank and no colon for a name and no value; such a head is noise. */
-        @Override
-        protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            if (line[start + length] != ':') {
-                throw new IllegalArgumentException("no colon behind a header's name");
-            }
-            return super.splitHeaderName(line, start, length);
-        }
+    // ---- the exchange
 
-        boolean leftOver() {
-            return actualReadableBytes() > 0;
-        }
+    /** It is for this exchange, which may have to wait until the connection is up. */
+    void assign(UpstreamExchange next) {
+        exchange = next;
+        next.assignedTo(this);
     }
 
-    void attach(Channel ch) {
-        channel = ch;
-        ch.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
+    boolean carries(UpstreamExchange which) {
+        return exchange == which;
     }
 
-    void await(UpstreamExchange x) {
-        exchange = x;
-        x.assignedTo(this);
+    boolean isInUse() {
+        return exchange != null;
     }
 
-    boolean awaits(UpstreamExchange x) {
-        return exchange == x;
+    /** The exchange that it carries; null where there is none. */
+    UpstreamExchange exchange() {
+        return exchange;
     }
 
-    double idleSince() {
-        return idleSince;
+    double idleSinceMs() {
+        return idleSinceMs;
     }
 
     /**
      * Whether an idle connection may carry the next exchange. What stands unread in its socket is read first: a
-     * second copy of the last answer, or the host's end, may have come since the loop last looked.
+     * second copy of the last response, or the host's end, may have come since the loop last looked.
      */
-    boolean ready() {
+    boolean isUsable() {
         if (channel.isActive()) {
             Transport.readNow(channel);
         }
         return channel.isActive();
     }
 
-    void write(UpstreamExchange x, FullHttpRequest message) {
-        begin(x);
-        wrote(x, channel.writeAndFlush(message));
+    void write(UpstreamExchange next, FullHttpRequest message) {
+        begin(next);
+        whenSent(next, channel.writeAndFlush(message));
     }
 
     /** Sends a body on as it comes and as fast as the host takes it. */
-    void write(UpstreamExchange x, HttpRequest message, RequestBody body) {
-        begin(x);
-        left = false;
-        upload = body;
-        channel.write(message, channel.voidPromise());
-        body.setSink(this::pump);
+    void write(UpstreamExchange next, HttpRequest message, RequestBody body) {
+        begin(next);
+        upload.start(channel, message, body);
     }
 
-    private void begin(UpstreamExchange x) {
-        await(x);
-        written = begun = clean = passing = false;
-        interim = 0;
+    private void begin(UpstreamExchange next) {
+        assign(next);
+        requestSent = false;
+        responseBegun = false;
+        reusable = false;
+        response.reset();
     }
 
-    private void wrote(UpstreamExchange x, ChannelFuture last) {
+    /** The last byte of a request leaves with this write. */
+    void whenSent(UpstreamExchange sending, ChannelFuture last) {
         last.addListener(f -> {
-            if (exchange != x) {
+            if (exchange != sending) {
                 return;
             }
-            written = f.isSuccess();
-            if (written) {
-                x.requestSent();
+            requestSent = f.isSuccess();
+            if (requestSent) {
+                sending.requestSent();
             } else {
                 lost();
                 close();
@@ -183,274 +122,158 @@
         });
     }
 
-    private void pump() {
-        if (upload == null || pumping) {
-            return;
-        }
-        pumping = true; // taking a part lets more come, perhaps at once
-        ByteBuf part = channel.isWritable() ? upload.poll() : null;
-        for (; part != null; part = channel.isWritable() ? upload.poll() : null) {
-            if (!left && exchange != null) {
-                exchange.bodyPartSent();
-            }
-            left = true;
-            channel.write(new DefaultHttpContent(part), channel.voidPromise());
-        }
-        pumping = false;
-        if (upload.isDrained()) {
-            stopUpload();
-            wrote(exchange, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
-        } else {
-            channel.flush();
+    void bodyPartSent() {
+        if (exchange != null) {
+            exchange.bodyPartSent();
         }
     }
 
-    private void stopUpload() {
-        if (upload != null) {
-            upload.setSink(null);
-            upload = null;
+    /** What was asked here ended without a response. It may have run only once its last byte had left. */
+    void lost() {
+        end(requestSent ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+    }
+
+    /** No response will come of this, whatever else comes; the host may have run the request all the same. */
+    void malformed() {
+        end(Outcome.MALFORMED, null);
+        close();
+    }
+
+    /** Ends the exchange, if there is one; the response is only lent. */
+    void end(Outcome outcome, FullHttpResponse answer) {
+        UpstreamExchange ending = exchange;
+        exchange = null;
+        upload.stop();
+        if (ending != null) {
+            ending.released();
+            ending.ended(outcome, answer);
         }
     }
 
     /** The exchange's owner waits no more. */
     void abandoned() {
         exchange = null;
-        stopUpload();
+        upload.stop();
         close();
     }
 
-    @Override
-    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        pump();
+    void close() {
+        if (channel != null) {
+            channel.close();
+        }
     }
 
-    void setReading(boolean on) {
-        if (channel.config().isAutoRead() != on) {
-            progressAt = clock.now(); // the client's pace is no silence of the host
-            channel.config().setAutoRead(on);
-        }
+    // ---- the response
+
+    /** Something has come from the host. */
+    void bytesReceived() {
+        stallWatch.bytesReceived(!responseBegun);
+        responseBegun = true;
     }
 
-    /** What was asked here ended without an answer. It may have run only once its last byte had left. */
-    void lost() {
-        end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+    /** Whether a response to this exchange has begun and not ended. */
+    boolean isReceiving(UpstreamExchange which) {
+        return exchange == which && responseBegun;
     }
 
-    /** No answer will come of this, whatever else comes; the host has run the request all the same. */
-    private void spoilt() {
-        end(Outcome.MALFORMED, null);
-        close();
+    boolean isStreamingResponse() {
+        return response.isStreaming();
     }
 
-    private void end(Outcome outcome, FullHttpResponse response) {
-        UpstreamExchange x = exchange;
-        exchange = null;
-        stopUpload();
-        if (x != null) {
-            x.released();
-            x.ended(outcome, response);
+    /** Streams the response that is being read, if it is still buffered. */
+    void streamBufferedResponse() {
+        response.streamBuffered();
+    }
+
+    /** Whether the exchange's owner takes the response's parts as they come. */
+    boolean responseStarted(HttpResponse head) {
+        return exchange.responseStarted(head);
+    }
+
+    /** Hands a part of a streamed response over. */
+    void responsePart(ByteBuf part) {
+        exchange.responsePart(part);
+    }
+
+    /** The final response may stand right behind an interim one. */
+    void interimResponseEnded() {
+        responseBegun = decoder.hasLeftover();
+    }
+
+    void setReading(boolean reading) {
+        if (channel.config().isAutoRead() != reading) {
+            stallWatch.readingChanged();
+            channel.config().setAutoRead(reading);
         }
     }
 
-    void close() {
-        if (channel != null) {
-            channel.close();
+    /** The response has ended; {@code keptOpen}: by its own framing, and the host keeps the connection. */
+    void setReusable(boolean keptOpen) {
+        reusable = requestSent && keptOpen && !decoder.hasLeftover();
+    }
+
+    void closeUnlessReusable() {
+        if (!reusable) {
+            close();
         }
     }
 
+    // ---- the channel
+
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
             if (exchange == null) {
                 close();
             } else if (((HttpObject) message).decoderResult().isFailure()) {
-                spoilt();
+                malformed();
             } else {
-                if (message instanceof HttpResponse httpResponse) {
-                    begin(httpResponse);
-                }
-                if (message instanceof HttpContent httpContent && exchange != null) {
-                    goOn(ctx, httpContent);
-                }
+                read(ctx, message);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void begin(HttpResponse response) {
-        head = response;
-        boolean ahead = isInterim();
-        long length = HttpUtil.getContentLength(response, -1L);
-        if (length > MessageBodies.MAX_BYTES
-                || ahead && ++interim > INTERIM_MAX
-                || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-            spoilt();
+    private void read(ChannelHandlerContext ctx, Object message) {
+        if (message instanceof HttpResponse head) {
+            response.begin(head);
         }
-        passedFrom = budget.passedFrom(length);
-    }
-
-    /** Whether its own framing says where the answer ends; else the connection's end does. */
-    private boolean bounded() {
-        return HttpUtil.isTransferEncodingChunked(head)
-                || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
-                || head.status().equals(HttpResponseStatus.NO_CONTENT)
-                || head.status().equals(HttpResponseStatus.NOT_MODIFIED);
-    }
-
-    /** Goes on with the answer as it comes; one that is not served has told all with its head. */
-    private void pass() {
-        if (!head.status().equals(HttpResponseStatus.OK)) {
-            FullHttpResponse told = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1,
-                    head.status(),
-                    Unpooled.EMPTY_BUFFER,
-                    head.headers(),
-                    EmptyHttpHeaders.INSTANCE);
-            end(outcome(told), told);
-            close();
-        } else if (exchange.responseStarted(head)) {
-            passing = true;
-            passedBytes = body.readableBytes();
-            ByteBuf first = body;
-            body = Unpooled.EMPTY_BUFFER;
-            pass(first);
-        } else {
-            spoilt();
-        }
-    }
-
-    private void pass(ByteBuf part) {
-        if (exchange != null && part.isReadable()) {
-            exchange.responsePart(part);
-        } else {
-            part.release();
+        if (message instanceof HttpContent content && exchange != null) {
+            response.addContent(ctx, content);
         }
     }
 
-    private boolean isInterim() {
-        return head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-    }
-
-    private void goOn(ChannelHandlerContext ctx, HttpContent content) {
-        if (!passing && body.readableBytes() + content.content().readableBytes() > passedFrom && !isInterim()) {
-            pass();
-            if (exchange == null) {
-                return;
-            }
-        }
-        if (passing) {
-            passedBytes += content.content().readableBytes();
-            if (passedBytes > MessageBodies.MAX_BYTES) { // of an answer that did not tell its length
-                spoilt();
-                return;
-            }
-            pass(content.content().retain());
-        } else {
-            body = MessageBodies.join(ctx, body, content.content());
-        }
-        if (!(content instanceof LastHttpContent)) {
-            return;
-        }
-        if (isInterim()) {
-            begun = decoder.leftOver();
-        } else if (passing) {
-            clean = written && bounded() && HttpUtil.isKeepAlive(head) && !decoder.leftOver();
-            setReading(true);
-            end(Outcome.OK, null);
-            if (!clean) {
-                close();
-            }
-        } else {
-            FullHttpResponse whole = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, head.status(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
-            clean = written && bounded() && HttpUtil.isKeepAlive(head) && !decoder.leftOver();
-            body = Unpooled.EMPTY_BUFFER;
-            try {
-                end(outcome(whole), whole);
-            } finally {
-                whole.release();
-            }
-            if (!clean) {
-                close();
-            }
-        }
-        head = null;
-    }
-
-    /** Only now has all been read that came with the answer; before, what is right behind it was not seen. */
+    /** Only now has all been read that came with the response; before, what is right behind it was not seen. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (exchange != null) {
-            watch();
+            if (responseBegun) {
+                stallWatch.start(channel, exchange);
+            }
             return;
         }
-        if (stall != null) {
-            stall.cancel(false);
-            stall = null;
-        }
-        if (clean && channel.isActive() && !home.closed()) {
-            clean = false; // once only: what comes from now on closes it
-            idleSince = clock.now();
-            home.resting(this);
-        } else if (home.closed()) {
+        stallWatch.stop();
+        if (reusable && channel.isActive() && !pool.isClosed()) {
+            reusable = false; // once only: what comes from now on closes it
+            idleSinceMs = clock.now();
+            pool.addIdle(this);
+        } else if (pool.isClosed()) {
             close();
         }
     }
 
-    /** A host that stops inside its answer keeps the connection open, so nothing else would ever tell. */
-    private void watch() {
-        if (begun && stall == null) {
-            watch(exchange, STALL_MS);
-        }
-    }
-
-    private void watch(UpstreamExchange x, double afterMs) {
-        stall = channel.eventLoop()
-                .schedule(
-                        () -> {
-                            stall = null;
-                            if (exchange != x || !begun) {
-                                return;
-                            }
-                            double now = clock.now();
-                            progressAt = channel.config().isAutoRead() ? progressAt : now;
-                            double quiet = now - progressAt;
-                            double limit = passing ? PASSED_STALL_MS : STALL_MS;
-                            if (quiet >= limit) {
-                                spoilt();
-                                return;
-                            }
-                            if (!passing && head != null && !isInterim() && now - begunAt > HOLD_MS) {
-                                pass();
-                            }
-                            if (exchange == x) {
-                                watch(x, Math.max(1, limit - quiet));
-                            }
-                        },
-                        (long) afterMs,
-                        TimeUnit.MILLISECONDS);
-    }
-
-    private static Outcome outcome(FullHttpResponse response) {
-        int code = response.status().code();
-        if (code == HttpResponseStatus.OK.code()) {
-            return Outcome.OK;
-        }
-        boolean turnedAway = code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
-                || code == HttpResponseStatus.GATEWAY_TIMEOUT.code();
-        return turnedAway && "1".equals(response.headers().get(NEVER_RAN)) ? Outcome.REJECTED : Outcome.ERROR;
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+        upload.more();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        home.gone(this);
-        if (stall != null) {
-            stall.cancel(false);
-        }
+        pool.remove(this);
+        stallWatch.stop();
         lost();
-        body.release();
-        body = Unpooled.EMPTY_BUFFER;
+        response.release();
     }
 
     @Override
