--- a/src/main/java/caperrudder/server/OpenRequest.java
+++ b/src/main/java/caperrudder/server/OpenRequest.java
@@ -2,7 +2,7 @@
 
 import caperrudder.api.Request;
 import caperrudder.server.admin.RequestCounters;
-import caperrudder.server.downstream.DownstreamServer;
+import caperrudder.server.downstream.ClientConnection;
 import caperrudder.server.downstream.ReceivedRequest;
 import caperrudder.server.http.RequestBody;
 import caperrudder.server.upstream.ForwardedRequest;
@@ -18,7 +18,7 @@
     private final HttpRequest head;
     private final RequestBody body; // until the entry leaves the table
     private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
-    private DownstreamServer.Connection client; // null once closed
+    private ClientConnection client; // null once closed
     private boolean closed;
     private double deadlineMs;
     private UpstreamAttempt streaming; // of which the response goes to the client as it comes
@@ -30,7 +30,7 @@
             Request request,
             HttpRequest head,
             RequestBody body,
-            DownstreamServer.Connection client) {
+            ClientConnection client) {
         this.dispatcher = dispatcher;
         this.request = request;
         this.head = head;
@@ -67,7 +67,7 @@
     }
 
     /** The client, to which a response is being passed on; null once the request is closed. */
-    DownstreamServer.Connection client() {
+    ClientConnection client() {
         return client;
     }
 
@@ -77,8 +77,8 @@
     }
 
     /** The client to answer, for the one caller that ends the request; null for all later ones (rule 1). */
-    DownstreamServer.Connection close(RequestCounters counters, RequestCounters.End end) {
-        DownstreamServer.Connection owed = client;
+    ClientConnection close(RequestCounters counters, RequestCounters.End end) {
+        ClientConnection owed = client;
         if (!closed) {
             counters.ended(request.requestClass(), end);
         }
--- a/src/main/java/caperrudder/server/RequestDispatcher.java
+++ b/src/main/java/caperrudder/server/RequestDispatcher.java
@@ -4,7 +4,7 @@
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import caperrudder.server.admin.RequestCounters;
-import caperrudder.server.downstream.DownstreamServer;
+import caperrudder.server.downstream.ClientConnection;
 import caperrudder.server.downstream.RequestHandler;
 import caperrudder.server.http.RequestBody;
 import caperrudder.server.runtime.EventLoopContext;
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void received(Request request, HttpRequest head, RequestBody body, DownstreamServer.Connection client) {
+    public void received(Request request, HttpRequest head, RequestBody body, ClientConnection client) {
         OpenRequest entry = new OpenRequest(this, request, head, body, client);
         open.put(request.id(), entry);
         client.open(entry);
@@ -192,7 +192,7 @@
 
     /** A part of that response, which is taken over. */
     void responsePart(UpstreamAttempt attempt, ByteBuf part) {
-        DownstreamServer.Connection client = attempt.request().client();
+        ClientConnection client = attempt.request().client();
         if (client == null) {
             part.release();
         } else {
@@ -217,13 +217,13 @@
         OpenRequest request = attempt.request();
         boolean served = outcome == Outcome.OK;
         if (request.streaming() == attempt) {
-            DownstreamServer.Connection client =
+            ClientConnection client =
                     request.close(counters, served ? RequestCounters.End.ANSWERED : RequestCounters.End.ERRORED);
             if (client != null) {
                 client.endResponse(served);
             }
         } else if (served) {
-            DownstreamServer.Connection client = request.close(counters, RequestCounters.End.ANSWERED);
+            ClientConnection client = request.close(counters, RequestCounters.End.ANSWERED);
             if (client != null) {
                 client.relay(response);
             }
@@ -311,7 +311,7 @@
         if (request == null) {
             return; // it is over
         }
-        DownstreamServer.Connection client = request.close(counters, end);
+        ClientConnection client = request.close(counters, end);
         if (client != null) {
             client.reply(status, retryAfterMs);
         }
--- a/src/main/java/caperrudder/server/downstream/InboundFlowControl.java
+++ b/src/main/java/caperrudder/server/downstream/InboundFlowControl.java
@@ -9,34 +9,35 @@
 import java.util.ArrayDeque;
 
 /**
- * Stops what a client sends before it is read further. A socket that is not read at all does not tell that its client
- * has left, so some is still taken from it and kept until the valve opens: behind that its end is seen. What a client
- * has sent beyond is read away once its end has to be known: then the connection ends behind what was kept.
+ * Pauses what a client sends before it is decoded. A socket that is not read at all does not tell that its client
+ * has left, so some is still read from it and kept until the connection resumes: behind that its end is seen. What a
+ * client has sent beyond is read away once its end has to be known: then the connection ends behind what was kept.
  */
 final class InboundFlowControl extends ChannelInboundHandlerAdapter {
-    /** Told to the handlers behind when all that was kept has gone on and what came after it was read away. */
-    enum Told {
-        CUT_OFF
+    /** Events for the handlers behind this one. */
+    enum Event {
+        /** All that was kept has been passed on, and what came after it was read away. */
+        INPUT_CUT_OFF
     }
 
-    private static final int AHEAD_MIN = 4 * 1024; // bytes kept of each client whose requests wait their turn
-    private static final int AHEAD_MAX = 128 * 1024; // while the budget for all of them lasts
-    private static final int LOOKS_MAX = 1024; // reads of one look, each of some KiB: more than a socket holds
-    private static final long FLOOD_BYTES = 8 << 20; // read away, after which the client is no longer borne
+    private static final int KEPT_MIN_BYTES = 4 * 1024; // of each client whose requests wait their turn
+    private static final int KEPT_MAX_BYTES = 128 * 1024; // while the budget for all of them lasts
+    private static final int READS_MAX = 1024; // at one look, each of some KiB: more than a socket holds
+    private static final long DISCARDED_MAX_BYTES = 8 << 20; // after which a client that goes on is closed
 
     private final ArrayDeque<ByteBuf> kept = new ArrayDeque<>();
     private final StreamBufferBudget budget;
-    private ChannelHandlerContext ctx;
-    private int bytes;
-    private int borrowed; // of the budget, beyond what each may keep
-    private long cameBytes;
-    private long cutBytes;
-    private boolean shut;
-    private boolean ahead;
-    private boolean cut; // what comes is read away
+    private ChannelHandlerContext context;
+    private int keptBytes;
+    private int borrowedBytes; // of the budget, beyond what each may keep
+    private long receivedBytes;
+    private long discardedBytes;
+    private boolean paused;
+    private boolean readsAhead; // while paused
+    private boolean cutOff; // what comes is read away
     private boolean reading; // what the socket held is being passed on
-    private boolean goingOn; // what was kept is being passed on
-    private boolean due; // what is kept goes on soon
+    private boolean replaying; // what was kept is being passed on
+    private boolean replayDue; // what is kept is passed on soon
 
     InboundFlowControl(StreamBufferBudget budget) {
         this.budget = budget;
@@ -44,37 +45,37 @@
 
     @Override
     public void handlerAdded(ChannelHandlerContext added) {
-        ctx = added;
+        context = added;
     }
 
-    boolean isShut() {
-        return shut;
+    boolean isPaused() {
+        return paused;
     }
 
-    /** Whether something has come that nobody has read yet. */
-    boolean holds() {
+    /** Whether something has come that nobody has decoded yet. */
+    boolean isHolding() {
         return !kept.isEmpty();
     }
 
     /** Whether what it passes on now has been kept for a while. */
-    boolean isGoingOn() {
-        return goingOn;
+    boolean isReplaying() {
+        return replaying;
     }
 
-    /** {@code toKeep}: whether the end of the connection is to be seen all the same. */
-    void shut(boolean toKeep) {
-        shut = true;
-        ahead = toKeep;
-        ctx.channel().config().setAutoRead(cut || ahead && hasRoom());
+    /** {@code readAhead}: whether the end of the connection is to be seen all the same. */
+    void pause(boolean readAhead) {
+        paused = true;
+        readsAhead = readAhead;
+        context.channel().config().setAutoRead(cutOff || readsAhead && hasRoom());
     }
 
-    void open() {
-        shut = false;
-        if (kept.isEmpty() && !cut) {
-            ctx.channel().config().setAutoRead(true);
-        } else if (!due) {
-            due = true;
-            ctx.executor().execute(this::goOn); // not at once: this may be inside a read
+    void resume() {
+        paused = false;
+        if (kept.isEmpty() && !cutOff) {
+            context.channel().config().setAutoRead(true);
+        } else if (!replayDue) {
+            replayDue = true;
+            context.executor().execute(this::replay); // not at once: this may be inside a read
         }
     }
 
@@ -82,116 +83,119 @@
      * Reads what stands in the socket now, its end above all, so that a client that has left is seen to have. Inside
      * a read of the same socket nothing is done, as that is going on.
      */
-    void look() {
-        Channel channel = ctx.channel();
-        if (reading
-                || goingOn
-                || shut && !ahead) { // the latter: a body is on its way, and its end is looked for behind it
+    void readSocket() {
+        Channel channel = context.channel();
+        if (reading || replaying || isBodyPaused()) {
             return;
         }
         long before = -1;
-        for (int i = 0; i < LOOKS_MAX && channel.isOpen() && cameBytes != before; i++) {
-            if (shut && !ahead) {
+        for (int i = 0; i < READS_MAX && channel.isOpen() && receivedBytes != before; i++) {
+            if (isBodyPaused()) {
                 return;
             }
-            cut |= !channel.config().isAutoRead() && !hasRoom();
-            before = cameBytes;
+            cutOff |= !channel.config().isAutoRead() && !hasRoom();
+            before = receivedBytes;
             Transport.readNow(channel);
         }
-        if (cut && channel.isOpen()) {
+        if (cutOff && channel.isOpen()) {
             channel.config().setAutoRead(true);
         }
     }
 
+    /** Whether a body is on its way that its receiver can't take: its client's end is looked for behind it. */
+    private boolean isBodyPaused() {
+        return paused && !readsAhead;
+    }
+
     /** From now on what comes is read away. */
     void discard() {
-        cut = true;
-        forget();
-        ctx.channel().config().setAutoRead(true);
+        cutOff = true;
+        releaseKept();
+        context.channel().config().setAutoRead(true);
     }
 
-    private void forget() {
+    private void releaseKept() {
         kept.forEach(ByteBuf::release);
         kept.clear();
-        count(-bytes);
+        addKept(-keptBytes);
     }
 
     private boolean hasRoom() {
-        return bytes < AHEAD_MIN || bytes < AHEAD_MAX && budget.keepsMore();
+        return keptBytes < KEPT_MIN_BYTES || keptBytes < KEPT_MAX_BYTES && budget.keepsMore();
     }
 
-    private void goOn() {
-        due = false;
+    private void replay() {
+        replayDue = false;
         boolean any = false;
-        goingOn = true;
-        while (!shut && !kept.isEmpty()) {
+        replaying = true;
+        while (!paused && !kept.isEmpty()) {
             ByteBuf next = kept.poll();
-            count(-next.readableBytes());
+            addKept(-next.readableBytes());
             any = true;
-            ctx.fireChannelRead(next);
+            context.fireChannelRead(next);
         }
-        goingOn = false;
+        replaying = false;
         if (any) {
-            ctx.fireChannelReadComplete();
+            context.fireChannelReadComplete();
         }
-        if (!shut && kept.isEmpty()) {
-            ctx.channel().config().setAutoRead(true);
-            if (cut) {
-                ctx.fireUserEventTriggered(Told.CUT_OFF);
+        if (!paused && kept.isEmpty()) {
+            context.channel().config().setAutoRead(true);
+            if (cutOff) {
+                context.fireUserEventTriggered(Event.INPUT_CUT_OFF);
             }
         }
     }
 
-    private void count(int more) {
-        bytes += more;
-        int beyond = Math.max(0, bytes - AHEAD_MIN);
-        budget.keep(beyond - borrowed);
-        borrowed = beyond;
+    private void addKept(int bytes) {
+        keptBytes += bytes;
+        int beyond = Math.max(0, keptBytes - KEPT_MIN_BYTES);
+        budget.keep(beyond - borrowedBytes);
+        borrowedBytes = beyond;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object message) {
-        ByteBuf more = (ByteBuf) message;
-        int length = more.readableBytes();
-        cameBytes += length;
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
+        ByteBuf bytes = (ByteBuf) message;
+        int length = bytes.readableBytes();
+        receivedBytes += length;
         reading = true;
-        if (cut) {
-            more.release();
-            cutBytes += length;
-            if (cutBytes > FLOOD_BYTES) {
-                context.close();
+        if (cutOff) {
+            bytes.release();
+            discardedBytes += length;
+            if (discardedBytes > DISCARDED_MAX_BYTES) {
+                ctx.close();
             }
-        } else if (!shut && kept.isEmpty()) {
-            context.fireChannelRead(more);
+        } else if (!paused && kept.isEmpty()) {
+            ctx.fireChannelRead(bytes);
         } else {
-            keep(more);
-            count(length);
+            keep(bytes);
+            addKept(length);
             if (!hasRoom()) {
-                context.channel().config().setAutoRead(false);
+                ctx.channel().config().setAutoRead(false);
             }
         }
     }
 
     /** Small pieces share a buffer, since each has come in one much larger than itself. */
-    private void keep(ByteBuf more) {
+    private void keep(ByteBuf bytes) {
         ByteBuf last = kept.peekLast();
-        if (last != null && last.refCnt() == 1 && last.writableBytes() >= more.readableBytes()) {
-            last.writeBytes(more);
-            more.release();
+        if (last != null && last.refCnt() == 1 && last.writableBytes() >= bytes.readableBytes()) {
+            last.writeBytes(bytes);
+            bytes.release();
         } else {
-            kept.add(more);
+            kept.add(bytes);
         }
     }
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext context) {
+    public void channelReadComplete(ChannelHandlerContext ctx) {
         reading = false;
-        context.fireChannelReadComplete();
+        ctx.fireChannelReadComplete();
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext context) {
-        forget();
-        context.fireChannelInactive();
+    public void channelInactive(ChannelHandlerContext ctx) {
+        releaseKept();
+        ctx.fireChannelInactive();
     }
 }
--- /dev/null
+++ b/src/main/java/caperrudder/server/downstream/ReplyWriter.java
@@ -0,0 +1,174 @@
+package caperrudder.server.downstream;
+
+import caperrudder.server.http.HeaderValues;
+import caperrudder.server.runtime.Clock;
+import caperrudder.server.runtime.StreamBufferBudget;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelOutboundBuffer;
+import io.netty.channel.WriteBufferWaterMark;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+
+/**
+ * Makes the responses of one connection, and streams those that are passed on as they come: as fast as the client
+ * takes them, so that what waits here stays within a window of the budget.
+ */
+final class ReplyWriter {
+    private static final double STALLED_MS = 20_000; // in which a client takes nothing of a response on its way
+    private static final double MS_PER_SECOND = 1000;
+
+    private final Channel channel;
+    private final Clock clock;
+    private final StreamBufferBudget budget;
+    private ResponseSource source; // of the response on its way; null between them
+    private boolean closing; // the response on its way is the connection's last
+    private boolean endedByClose; // and only the connection's end tells that it is whole
+    private double takenAtMs; // when the client last took some of it
+
+    ReplyWriter(Channel channel, Clock clock, StreamBufferBudget budget) {
+        this.channel = channel;
+        this.clock = clock;
+        this.budget = budget;
+    }
+
+    // ---- responses that are whole
+
+    /** A host's 200 response for the client; the body is retained. */
+    static FullHttpResponse relayed(FullHttpResponse from) {
+        FullHttpResponse to = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.content().retain());
+        copyContentType(from, to);
+        return to;
+    }
+
+    /** A response without a body; it tells no time to come back where {@code retryAfterMs} is 0. */
+    static FullHttpResponse empty(HttpResponseStatus status, double retryAfterMs) {
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
+        if (retryAfterMs > 0) {
+            response.headers()
+                    .set(HttpHeaderNames.RETRY_AFTER, Double.toString(Math.ceil(retryAfterMs) / MS_PER_SECOND));
+        }
+        return response;
+    }
+
+    /** Sets the headers that tell where the response ends, and whether the connection ends with it. */
+    static void frame(FullHttpResponse response, boolean last) {
+        response.headers()
+                .setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        if (last) {
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        }
+    }
+
+    private static void copyContentType(HttpResponse from, HttpResponse to) {
+        String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
+        if (type != null && HeaderValues.isWithin(type, ' ', '~')) { // else not to be passed on
+            to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+        }
+    }
+
+    /** Tells the client to send the body that it holds back. */
+    void writeContinue() {
+        channel.writeAndFlush(
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER),
+                channel.voidPromise());
+    }
+
+    // ---- a streamed response
+
+    /**
+     * Begins to pass a response on as it comes.
+     *
+     * @param chunkedAllowed whether the client reads a body in chunks
+     * @param last whether the connection ends with this response whatever its framing
+     */
+    void begin(HttpResponse from, ResponseSource parts, boolean chunkedAllowed, boolean last) {
+        HttpResponse to = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        copyContentType(from, to);
+        long length = HttpUtil.getContentLength(from, -1L);
+        if (length >= 0) {
+            to.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
+        } else if (chunkedAllowed) {
+            to.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        }
+        endedByClose = length < 0 && !chunkedAllowed;
+        closing = last || endedByClose;
+        if (closing) {
+            to.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        }
+        setSource(parts);
+        int window = budget.window();
+        channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(window / 2, window));
+        takenAtMs = clock.now();
+        channel.write(to, channel.voidPromise());
+    }
+
+    /** Takes the part over. */
+    void write(ByteBuf part) {
+        channel.writeAndFlush(new DefaultHttpContent(part), channel.voidPromise());
+        if (source != null) { // else the write has ended the connection
+            source.setReading(channel.isWritable());
+        }
+    }
+
+    /** No more parts come, be the response whole or not. */
+    void stop() {
+        setSource(null);
+    }
+
+    private void setSource(ResponseSource next) {
+        if (source == null && next != null) {
+            budget.began();
+        } else if (source != null && next == null) {
+            budget.ended();
+        }
+        source = next;
+    }
+
+    boolean isStreaming() {
+        return source != null;
+    }
+
+    /** Whether something written still waits to be taken by the client. */
+    boolean isPending() {
+        ChannelOutboundBuffer pending = channel.isActive() ? channel.unsafe().outboundBuffer() : null;
+        return pending != null && pending.totalPendingWriteBytes() > 0;
+    }
+
+    /** Whether the response that is or was last on its way is the connection's last. */
+    boolean isClosing() {
+        return closing;
+    }
+
+    /** Ends the connection inside a response. Where its end alone would tell that it is whole, by a reset. */
+    void abort() {
+        if (endedByClose && channel instanceof SocketChannel socketChannel) {
+            socketChannel.config().setSoLinger(0);
+        }
+        channel.close();
+    }
+
+    /** Whether the client has taken nothing of the response on its way for too long. */
+    boolean isStalled(double nowMs) {
+        takenAtMs = channel.isWritable() ? nowMs : takenAtMs;
+        return nowMs - takenAtMs > STALLED_MS;
+    }
+
+    void writabilityChanged() {
+        if (source != null) {
+            takenAtMs = clock.now();
+            source.setReading(channel.isWritable());
+        }
+    }
+}
--- a/src/main/java/caperrudder/server/downstream/RequestHandler.java
+++ b/src/main/java/caperrudder/server/downstream/RequestHandler.java
@@ -17,7 +17,7 @@
 
     /**
      * Takes a request, whole or with its body on its way. The handler owns the body from here on, has the connection
-     * {@linkplain DownstreamServer.Connection#open hold} the request, and gives it exactly one response, perhaps at once.
+     * {@linkplain ClientConnection#open hold} the request, and gives it exactly one response, perhaps at once.
      */
-    void received(Request request, HttpRequest head, RequestBody body, DownstreamServer.Connection client);
+    void received(Request request, HttpRequest head, RequestBody body, ClientConnection client);
 }
--- a/src/main/java/caperrudder/server/downstream/RequestReader.java
+++ b/src/main/java/caperrudder/server/downstream/RequestReader.java
@@ -1,5 +1,7 @@
 package caperrudder.server.downstream;
 
+import caperrudder.server.downstream.InboundMessage.InboundRequest;
+import caperrudder.server.downstream.InboundMessage.UnreadableRequest;
 import caperrudder.server.http.MessageBodies;
 import caperrudder.server.http.RequestBody;
 import caperrudder.server.http.RequestHeaders;
@@ -12,8 +14,6 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPipeline;
 import io.netty.handler.codec.TooLongFrameException;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -30,49 +30,45 @@
 
 /**
  * Puts the requests of one connection together, or passes on that what comes can't be read: then nothing more is, as
- * where a further request would begin is not known. It answers nothing itself, since answers have their order.
+ * where a further request would begin is not known. It answers nothing itself, since responses have their order.
  */
-public final class RequestReader extends ChannelInboundHandlerAdapter {
+final class RequestReader extends ChannelInboundHandlerAdapter {
+    /** Events for the handlers behind this one. */
+    enum Event {
+        /** The client sends the body only once it is told that its head was read. */
+        CONTINUE_EXPECTED,
+        /** The last byte of a streamed body has come. */
+        BODY_COMPLETED
+    }
+
     private static final HttpHeadersFactory HEADERS = StrictHeaders.ofRequests(RequestHeaders.SINGLE_VALUED);
     private static final double NONE = -1;
     private static final double HEAD_MS = 2600; // for a head, from its first byte: true clients take up to 2 s
     private static final double BODY_GRACE_MS = 1500; // without a byte of a body, and ahead of its slowest pace
     private static final double BODY_BYTES_PER_MS = 32; // slowest pace of a body: half of what true clients keep
 
-    /** In the place of a request: the connection ends with this answer. */
-    record Unreadable(HttpResponseStatus status) {}
-
-    /** A request of which the body is on its way: its parts go to the body as they come. */
-    record Arriving(HttpRequest head, RequestBody body) {}
-
-    /** The client sends the body only once it is told that its head was read. */
-    enum Asks {
-        TO_GO_ON,
-        BODY_CAME
-    }
-
     private final Clock clock;
-    private final InboundFlowControl valve;
+    private final StreamBufferBudget budget;
+    private final InboundFlowControl flowControl;
+    private final Runnable onRoom;
     private final Decoder decoder = new Decoder();
     private HttpRequest head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
-    private int passedFrom; // so many bytes of the body on
-    private RequestBody arriving; // of a request that was passed on before its end
-    private boolean over;
-    private double since = NONE; // when an unfinished request, or its body, began to come
-    private double progressAt;
+    private int streamedFromBytes; // a longer body is passed on as it comes
+    private RequestBody streamedBody; // of a request that was passed on before its end
+    private boolean ended;
+    private double sinceMs = NONE; // when an unfinished request, or its body, began to come
+    private double progressAtMs;
     private long bodyBytes; // since then
-    private long bodyTotal;
+    private long streamedBytes;
     private long reads;
-    private final StreamBufferBudget budget;
-    private final Runnable room;
 
-    /** {@code room} is run when a body that was full can take more. */
-    RequestReader(Clock clock, StreamBufferBudget budget, Runnable room) {
+    /** {@code onRoom} is run when a body that was full can take more. */
+    RequestReader(Clock clock, StreamBufferBudget budget, Runnable onRoom) {
         this.clock = clock;
         this.budget = budget;
-        this.valve = new InboundFlowControl(budget);
-        this.room = room;
+        this.flowControl = new InboundFlowControl(budget);
+        this.onRoom = onRoom;
     }
 
     private final class Decoder extends HttpRequestDecoder {
@@ -82,33 +78,33 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-            if (over) {
+            if (ended) {
                 ReferenceCountUtil.release(bytes);
                 return;
             }
-            if (since == NONE) {
-                since = clock.now();
+            if (sinceMs == NONE) {
+                sinceMs = clock.now();
             }
             reads++;
             super.channelRead(ctx, bytes);
         }
 
-        boolean leftOver() {
+        boolean hasLeftover() {
             return actualReadableBytes() > 0;
         }
     }
 
     void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(valve, new HttpResponseEncoder(), decoder, this);
+        pipeline.addLast(flowControl, new HttpResponseEncoder(), decoder, this);
     }
 
-    InboundFlowControl valve() {
-        return valve;
+    InboundFlowControl flowControl() {
+        return flowControl;
     }
 
     /** Whether a part of a request has come and not its end. */
-    boolean unfinished() {
-        return since != NONE;
+    boolean isInsideRequest() {
+        return sinceMs != NONE;
     }
 
     /** How often something has come. */
@@ -117,24 +113,25 @@
     }
 
     /** Whether something unfinished comes too slowly, or no more. */
-    boolean overdue(double now) {
-        if (since == NONE) {
+    boolean isOverdue(double nowMs) {
+        if (sinceMs == NONE) {
             return false;
         }
-        return head == null && arriving == null
-                ? now - since > HEAD_MS
-                : now - progressAt > BODY_GRACE_MS || now - since - BODY_GRACE_MS > bodyBytes / BODY_BYTES_PER_MS;
+        return head == null && streamedBody == null
+                ? nowMs - sinceMs > HEAD_MS
+                : nowMs - progressAtMs > BODY_GRACE_MS
+                        || nowMs - sinceMs - BODY_GRACE_MS > bodyBytes / BODY_BYTES_PER_MS;
     }
 
-    /** What came of a body that has more to come, or null. */
-    RequestBody arriving() {
-        return arriving;
+    /** Whether the body on its way can take no more for now. */
+    boolean isBodyFull() {
+        return streamedBody != null && streamedBody.isFull();
     }
 
     /** The client was not read for a while, and its time starts anew. */
-    void resume() {
-        since = since == NONE ? NONE : clock.now();
-        progressAt = clock.now();
+    void restartTimeouts() {
+        sinceMs = sinceMs == NONE ? NONE : clock.now();
+        progressAtMs = clock.now();
         bodyBytes = 0;
     }
 
@@ -142,133 +139,141 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
             Throwable fault = ((HttpObject) message).decoderResult().cause();
-            if (over) {
+            if (ended) {
                 return;
             }
             if (fault != null) {
-                refuse(
-                        ctx,
-                        fault instanceof TooLongFrameException
-                                ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-                                : HttpResponseStatus.BAD_REQUEST);
+                reject(ctx, statusOf(fault));
                 return;
             }
-            if (message instanceof HttpRequest httpRequest) {
-                begin(ctx, httpRequest);
+            if (message instanceof HttpRequest request) {
+                begin(ctx, request);
             }
-            if (message instanceof HttpContent httpContent && !over) {
-                goOn(ctx, httpContent);
+            if (message instanceof HttpContent content && !ended) {
+                addContent(ctx, content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
+    private static HttpResponseStatus statusOf(Throwable fault) {
+        return fault instanceof TooLongFrameException
+                ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+                : HttpResponseStatus.BAD_REQUEST;
+    }
+
     private void begin(ChannelHandlerContext ctx, HttpRequest request) {
         head = request;
-        resume();
-        boolean known = request.protocolVersion().equals(HttpVersion.HTTP_1_1)
-                || request.protocolVersion().equals(HttpVersion.HTTP_1_0)
-                        && !HttpUtil.isTransferEncodingChunked(request);
-        if (!known) {
-            refuse(ctx, HttpResponseStatus.BAD_REQUEST);
+        restartTimeouts();
+        if (!isSupported(request)) {
+            reject(ctx, HttpResponseStatus.BAD_REQUEST);
         } else if (HttpUtil.getContentLength(request, 0L) > MessageBodies.MAX_BYTES) {
-            refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE); // before any of it is read
+            reject(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE); // before any of it is read
         } else if (HttpUtil.is100ContinueExpected(request)) {
-            ctx.fireUserEventTriggered(Asks.TO_GO_ON);
+            ctx.fireUserEventTriggered(Event.CONTINUE_EXPECTED);
         } else if (request.headers().contains(HttpHeaderNames.EXPECT)) {
-            refuse(ctx, HttpResponseStatus.EXPECTATION_FAILED);
+            reject(ctx, HttpResponseStatus.EXPECTATION_FAILED);
         }
-        passedFrom = budget.passedFrom(HttpUtil.getContentLength(request, 0L));
+        streamedFromBytes = budget.passedFrom(HttpUtil.getContentLength(request, 0L));
     }
 
-    private void passOn(ChannelHandlerContext ctx) {
-        arriving = RequestBody.streamed(budget.window(), room);
-        if (body.isReadable()) {
-            arriving.add(body);
-            body = Unpooled.EMPTY_BUFFER;
-        }
-        ctx.fireChannelRead(new Arriving(head, arriving));
+    private static boolean isSupported(HttpRequest request) {
+        return request.protocolVersion().equals(HttpVersion.HTTP_1_1)
+                || request.protocolVersion().equals(HttpVersion.HTTP_1_0)
+                        && !HttpUtil.isTransferEncodingChunked(request);
     }
 
-    private void goOn(ChannelHandlerContext ctx, HttpContent content) {
+    private void addContent(ChannelHandlerContext ctx, HttpContent content) {
         int length = content.content().readableBytes();
         bodyBytes += length;
-        progressAt = length > 0 ? clock.now() : progressAt;
-        if (arriving == null && body.readableBytes() + length > passedFrom) {
-            passOn(ctx);
+        progressAtMs = length > 0 ? clock.now() : progressAtMs;
+        if (streamedBody == null && body.readableBytes() + length > streamedFromBytes) {
+            startStreaming(ctx);
         }
-        if (arriving != null) {
-            pass(ctx, content);
+        if (streamedBody != null) {
+            stream(ctx, content);
             return;
         }
         body = MessageBodies.join(ctx, body, content.content());
         if (content instanceof LastHttpContent) {
-            DefaultFullHttpRequest whole = new DefaultFullHttpRequest(
-                    head.protocolVersion(), head.method(), head.uri(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
+            InboundRequest request = new InboundRequest(head, RequestBody.buffered(body));
             head = null;
             body = Unpooled.EMPTY_BUFFER;
-            since = decoder.leftOver() ? clock.now() : NONE;
-            ctx.fireChannelRead(whole);
+            sinceMs = decoder.hasLeftover() ? clock.now() : NONE;
+            ctx.fireChannelRead(request);
         }
     }
 
-    private void pass(ChannelHandlerContext ctx, HttpContent content) {
-        bodyTotal += content.content().readableBytes();
-        if (bodyTotal > MessageBodies.MAX_BYTES) { // of a body that did not tell its length
-            refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+    private void startStreaming(ChannelHandlerContext ctx) {
+        streamedBody = RequestBody.streamed(budget.window(), onRoom);
+        if (body.isReadable()) {
+            streamedBody.add(body);
+            body = Unpooled.EMPTY_BUFFER;
+        }
+        ctx.fireChannelRead(new InboundRequest(head, streamedBody));
+    }
+
+    private void stream(ChannelHandlerContext ctx, HttpContent content) {
+        streamedBytes += content.content().readableBytes();
+        if (streamedBytes > MessageBodies.MAX_BYTES) { // of a body that did not tell its length
+            reject(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
         ByteBuf part = content.content().retain();
         if (content instanceof LastHttpContent) {
-            RequestBody come = arriving;
-            arriving = null;
-            head = null;
-            bodyTotal = 0;
-            since = decoder.leftOver() ? clock.now() : NONE;
-            come.lastPartReceived();
-            ctx.executor().execute(() -> end(ctx, come, part));
+            streamLast(ctx, part);
             return;
         }
-        arriving.add(part);
-        if (arriving.isFull()) {
-            valve.shut(false); // at once: more may stand in the socket
+        streamedBody.add(part);
+        if (streamedBody.isFull()) {
+            flowControl.pause(false); // at once: more may stand in the socket
         }
     }
 
+    private void streamLast(ChannelHandlerContext ctx, ByteBuf part) {
+        RequestBody received = streamedBody;
+        streamedBody = null;
+        head = null;
+        streamedBytes = 0;
+        sinceMs = decoder.hasLeftover() ? clock.now() : NONE;
+        received.lastPartReceived();
+        ctx.executor().execute(() -> complete(ctx, received, part));
+    }
+
     /** A host starts a request with its last byte, so the client's end, which may stand behind it, is read first. */
-    private void end(ChannelHandlerContext ctx, RequestBody come, ByteBuf part) {
-        valve.look();
+    private void complete(ChannelHandlerContext ctx, RequestBody received, ByteBuf part) {
+        flowControl.readSocket();
         if (ctx.channel().isOpen()) {
-            come.add(part);
-            come.end();
-            ctx.fireUserEventTriggered(Asks.BODY_CAME);
+            received.add(part);
+            received.end();
+            ctx.fireUserEventTriggered(Event.BODY_COMPLETED);
         } else {
             part.release();
         }
     }
 
-    /** More was sent ahead than is kept: refused, as it may be asked again. */
+    /** More was sent ahead than is kept: rejected, as it may be asked again. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == InboundFlowControl.Told.CUT_OFF && !over) {
-            refuse(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE);
+        if (event == InboundFlowControl.Event.INPUT_CUT_OFF && !ended) {
+            reject(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
         ctx.fireUserEventTriggered(event);
     }
 
-    private void refuse(ChannelHandlerContext ctx, HttpResponseStatus status) {
+    private void reject(ChannelHandlerContext ctx, HttpResponseStatus status) {
         end();
-        ctx.fireChannelRead(new Unreadable(status));
+        ctx.fireChannelRead(new UnreadableRequest(status));
     }
 
     private void end() {
-        over = true;
-        since = NONE;
+        ended = true;
+        sinceMs = NONE;
         head = null;
-        if (arriving != null) {
-            arriving.discard();
-            arriving = null;
+        if (streamedBody != null) {
+            streamedBody.discard();
+            streamedBody = null;
         }
         body.release();
         body = Unpooled.EMPTY_BUFFER;
