--- /dev/null
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -0,0 +1,55 @@
+package caperrudder.policy;
+
+import caperrudder.api.AttemptResult;
+import caperrudder.api.Outcome;
+import caperrudder.policy.quota.AdmissionControl;
+import caperrudder.policy.scheduling.ConcurrencyLimit;
+import caperrudder.policy.scheduling.OverdueShare;
+import caperrudder.policy.scheduling.TrafficClass;
+
+/** Hands the result of an attempt to all that learn from it. Confined to the policy's thread. */
+final class AttemptFeedback {
+    private final LoadBalancer loadBalancer;
+    private final ConcurrencyLimit limit;
+    private final OverdueShare overdueShare;
+    private final AdmissionControl admission;
+    private final boolean chargesTrueUnits;
+
+    /** {@code chargesTrueUnits}: whether hosts report what a request really used, and quotas are charged by that. */
+    AttemptFeedback(
+            LoadBalancer loadBalancer,
+            ConcurrencyLimit limit,
+            OverdueShare overdueShare,
+            AdmissionControl admission,
+            boolean chargesTrueUnits) {
+        this.loadBalancer = loadBalancer;
+        this.limit = limit;
+        this.overdueShare = overdueShare;
+        this.admission = admission;
+        this.chargesTrueUnits = chargesTrueUnits;
+    }
+
+    /** Learns from an attempt that has ended with this result. */
+    void record(double now, Attempt attempt, AttemptResult result) {
+        PendingRequest request = attempt.request();
+        TrafficClass trafficClass = request.trafficClass();
+        loadBalancer.recordResult(now, attempt.endpoint(), trafficClass.spec(), attempt.expectedWorkMs(), result);
+        if (result.outcome() == Outcome.OK) recordServed(now, request, result);
+        if (result.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
+        if (request.quota() != null) {
+            admission.meterReported(now, request.quota(), request, result.quotaUsedPercent());
+        }
+    }
+
+    private void recordServed(double now, PendingRequest request, AttemptResult result) {
+        TrafficClass trafficClass = request.trafficClass();
+        double objectiveMs = trafficClass.spec().latencyObjectiveMs();
+        double responseTimeMs = now - request.arrivedAt();
+        trafficClass.noteServed(result.latencyMs(), responseTimeMs, request.units());
+        overdueShare.note(responseTimeMs > objectiveMs);
+        limit.noteResponse(result.latencyMs(), trafficClass.latency().baseMs(request.units()), objectiveMs);
+        if (request.quota() != null && chargesTrueUnits && result.trueUnits() > 0) {
+            request.quota().charge(result.trueUnits() - request.units());
+        }
+    }
+}
--- a/src/main/java/caperrudder/policy/LoadBalancer.java
+++ b/src/main/java/caperrudder/policy/LoadBalancer.java
@@ -17,6 +17,8 @@
 public final class LoadBalancer {
     private static final double REFRESH_MS = 500; // how often capacity is counted and the subset chosen anew
     private static final int SMALL_CHANGE = 1024; // usable endpoints for each changed one: capacity need not be counted
+    private static final double OVERDUE_MULTIPLE = 5; // an attempt is overdue after so many times its expected time
+    private static final double OVERDUE_MIN_MS = 400; // and so much more
 
     private final EndpointTable table;
     private final EndpointSubset subset;
@@ -130,6 +132,12 @@
         loadReports.record(now, endpoint, result.loadReport());
     }
 
+    /** Whether an attempt that has been working so long, in ms, should have ended by now. */
+    public boolean isOverdue(double now, Endpoint endpoint, double expectedWorkMs, double elapsedMs) {
+        double expectedMs = expectedWorkMs * Math.max(1, endpoint.latencyPenalty(now));
+        return elapsedMs > OVERDUE_MULTIPLE * expectedMs + OVERDUE_MIN_MS;
+    }
+
     /** Learns that an attempt is overdue; to be called once for each. */
     public void recordOverdue(double now, Endpoint endpoint, RequestClass requestClass) {
         outliers.recordOverdue(now, endpoint, requestClass);
--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -27,7 +27,7 @@
     private boolean admitted;
     private boolean responding;
     private boolean closed;
-    private OwnerRequest ownerRequest;
+    private OwnerRequest ownerRequest; // null where no owner of the quota was asked
 
     /** {@code quota}: of the customer, or null where the settings do not name its plan. */
     PendingRequest(Request request, TrafficClass trafficClass, CustomerQuota quota) {
@@ -78,16 +78,16 @@
         return quota;
     }
 
-    /** Its admission is up to an owner of the quota. */
-    void awaitOwner(OwnerRequest newOwnerRequest) {
-        ownerRequest = newOwnerRequest;
-    }
-
-    /** What was asked of an owner of its quota, or null where none was asked. */
+    /** What the decision of the quota's owner on it is awaited by, or null where no owner was asked. */
     OwnerRequest ownerRequest() {
         return ownerRequest;
     }
 
+    /** The quota's owner decides on it. */
+    void awaitOwner(OwnerRequest asked) {
+        ownerRequest = asked;
+    }
+
     /** Since when its client waits: its arrival, or the end of its body where that came later. */
     double arrivedAt() {
         return arrivedAt;
@@ -165,6 +165,16 @@
         return attempt;
     }
 
+    /** The endpoints of all attempts in their order; one that had several stands there as often. */
+    List<Endpoint> attemptedEndpoints() {
+        if (attempts.isEmpty()) return List.of();
+        List<Endpoint> endpoints = new ArrayList<>(attempts.size());
+        for (Attempt attempt : attempts) {
+            endpoints.add(attempt.endpoint());
+        }
+        return endpoints;
+    }
+
     /** The first attempt not known never to have run, or null. */
     Attempt firstThatMayHaveRun() {
         for (Attempt attempt : attempts) {
--- a/src/main/java/caperrudder/policy/RetryAfter.java
+++ b/src/main/java/caperrudder/policy/RetryAfter.java
@@ -5,7 +5,7 @@
 /** The time after which a rejected client is told to come back. */
 final class RetryAfter {
     private static final double MIN_MS = TrafficPolicy.TICK_MS; // nothing changes sooner
-    private static final double NONE = 0; // as the interface says that no time is told
+    static final double NONE = 0; // as the interface says that no time is told
 
     private final Limits limits;
 
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -4,254 +4,178 @@
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
-import caperrudder.api.Outcome;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Request;
 import caperrudder.api.Settings;
 import caperrudder.api.Snapshot;
-import caperrudder.policy.gossip.OwnerRequest;
-import caperrudder.policy.gossip.QuotaApplicant;
 import caperrudder.policy.gossip.QuotaGossip;
 import caperrudder.policy.gossip.QuotaOwnership;
 import caperrudder.policy.quota.AdmissionControl;
-import caperrudder.policy.quota.AdmissionVerdict;
-import caperrudder.policy.quota.CustomerQuota;
 import caperrudder.policy.quota.QuotaTable;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
-import caperrudder.policy.scheduling.Dispatcher;
 import caperrudder.policy.scheduling.FairScheduler;
 import caperrudder.policy.scheduling.OverdueShare;
 import caperrudder.policy.scheduling.TrafficClass;
 import caperrudder.policy.scheduling.TrafficClasses;
 import caperrudder.policy.scheduling.WeightController;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Random;
 
 /**
- * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
- * Its interface (events, actions, settings) is Gateway.java, beside this file.
+ * The decisions of one gateway: each event is handed to the concern that it belongs to, and what that decides leaves as
+ * actions. Admission by quota is {@link RequestAdmission}'s, queues and answers are {@link RequestLifecycle}'s,
+ * attempts and retries are {@link AttemptLifecycle}'s, and the choice of an endpoint is {@link LoadBalancer}'s.
+ *
+ * <p>Times are milliseconds of the clock of the events. One seed and one sequence of events give one sequence of
+ * actions. Not safe for use by several threads: all events come from one thread, and actions may bring further events
+ * before they return.
  */
 public final class TrafficPolicy implements PolicyEvents {
-    // Housekeeping
     /** How often timers run: waiting requests expire and messages leave on a tick. */
     static final double TICK_MS = 20;
 
-    private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
+    private static final double CLEANUP_MS = 5000; // how often customers and hosts long gone are forgotten
     private static final double RESUBSCRIBE_AFTER_MS = 3000; // after a call for the endpoint list failed
-    // Waiting requests
-    // Attempts
-    private static final double SILENT_AFTER = 5; // expected times, and
-    private static final double QUIET_MS = 400; // so much, after which it is overdue
+    private static final String TICK_TOKEN = "beat"; // as recorded days and the simulator know it
+    private static final String SUBSCRIBE_TOKEN = "watch";
 
-    private final PolicyActions act;
-    private TrafficClasses classes = TrafficClasses.NONE; // until started
-    private ConcurrencyLimit limit;
-    private FairScheduler<PendingRequest, Endpoint> scheduler;
-    private WeightController weights;
-    private final Map<String, PendingRequest> asks = new LinkedHashMap<>();
-    private final Map<Endpoint, LinkedHashSet<Attempt>> atWork = new LinkedHashMap<>();
+    private final PolicyActions actions;
+    private final PendingRequests pending = new PendingRequests();
+    private TrafficClasses classes = TrafficClasses.NONE; // until started, as all that follows is null
+    private LoadBalancer loadBalancer;
     private QuotaTable quotas;
     private QuotaGossip gossip;
-    private AdmissionControl admission;
-    private Settings set;
-    private LoadBalancer loadBalancer;
-    private double sweptAt;
-    private final OverdueShare lateness = new OverdueShare();
+    private ConcurrencyLimit limit;
+    private WeightController weights;
     private EventLoopStalls stalls;
-    private RetryPolicy retries;
-    private RetryAfter retryAfter;
+    private RequestLifecycle requests;
+    private AttemptLifecycle attempts;
+    private RequestAdmission admission;
+    private double cleanedUpAt;
 
-    public TrafficPolicy(PolicyActions act) {
-        this.act = act;
+    /** A policy that acts through {@code actions} once it is started. */
+    public TrafficPolicy(PolicyActions actions) {
+        this.actions = actions;
     }
 
     @Override
     public void start(double now, Settings settings) {
-        set = settings;
-        QuotaOwnership ownership = new QuotaOwnership(now, settings);
-        quotas = new QuotaTable(now, settings, ownership);
-        gossip = new QuotaGossip(now, settings, quotas, ownership, act);
-        admission = new AdmissionControl(settings, quotas, ownership, gossip, lateness::share);
-        loadBalancer = new LoadBalancer(now, settings, new Random(settings.seed()));
+        int gatewayCount = Math.max(1, settings.gatewayCount());
         classes = new TrafficClasses(settings);
-        limit = new ConcurrencyLimit(now, gatewayCount(), classes.all());
-        scheduler = new FairScheduler<>(classes.all(), limit, new AttemptDispatcher());
+        limit = new ConcurrencyLimit(now, gatewayCount, classes.all());
         weights = new WeightController(now, classes.all(), limit);
-        sweptAt = now;
+        loadBalancer = new LoadBalancer(now, settings, new Random(settings.seed()));
         stalls = new EventLoopStalls(now, TICK_MS);
-        retries = new RetryPolicy(settings.limits());
-        retryAfter = new RetryAfter(settings.limits());
-        if (settings.subscribesToHosts()) act.subscribeToHosts();
-        act.startTimer(TICK_MS, "beat");
+        cleanedUpAt = now;
+        createRequestHandling(now, settings);
+        if (settings.subscribesToHosts()) actions.subscribeToHosts();
+        actions.startTimer(TICK_MS, TICK_TOKEN);
     }
 
-    @Override
-    public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
-        if (kind == HostListKind.FAILED) act.startTimer(RESUBSCRIBE_AFTER_MS, "watch");
-        if (kind == HostListKind.FAILED) return;
-        loadBalancer.hostsUpdated(now, kind, hosts);
-        release(now);
+    private void createRequestHandling(double now, Settings settings) {
+        OverdueShare overdueShare = new OverdueShare();
+        QuotaOwnership ownership = new QuotaOwnership(now, settings);
+        quotas = new QuotaTable(now, settings, ownership);
+        gossip = new QuotaGossip(now, settings, quotas, ownership, actions);
+        AdmissionControl control = new AdmissionControl(settings, quotas, ownership, gossip, overdueShare::share);
+        RetryPolicy retries = new RetryPolicy(settings.limits());
+        OutstandingAttempts outstanding = new OutstandingAttempts(limit, loadBalancer, stalls);
+        AttemptDispatcher dispatcher = new AttemptDispatcher(actions, loadBalancer, outstanding, retries);
+        FairScheduler<PendingRequest, Endpoint> scheduler = new FairScheduler<>(classes.all(), limit, dispatcher);
+        boolean chargesTrueUnits = settings.sharing().postPaid();
+        AttemptFeedback feedback = new AttemptFeedback(loadBalancer, limit, overdueShare, control, chargesTrueUnits);
+        requests = new RequestLifecycle(
+                actions, settings.limits(), pending, scheduler, limit, loadBalancer, gossip, overdueShare);
+        attempts = new AttemptLifecycle(actions, requests, outstanding, retries, feedback, loadBalancer);
+        admission = new RequestAdmission(pending, quotas, control, gossip, requests);
     }
 
     @Override
-    public void requestReceived(double now, Request r) {
-        TrafficClass cls = classes.find(r.requestClass());
-        if (cls == null) act.reject(r.id(), 0); // a class that the settings do not name cannot be judged
-        if (cls == null) return;
-        int plan = quotas.planNumber(r.plan());
-        boolean planKnown = plan != QuotaTable.UNKNOWN_PLAN;
-        CustomerQuota c =
-                planKnown ? quotas.findOrCreate(now, r.customer(), plan, r.firstReplica(), r.replicaCount()) : null;
-        PendingRequest ask = new PendingRequest(r, cls, c);
-        asks.put(r.id(), ask);
-        // A stall of ours has used up its time: it is told so at once, before it costs others theirs. It
-        // also covers a crowd at a slow start, and could hurt where what was read is younger than the stall.
-        if (r.arrivedMs() < now && now >= RequestExpiry.expiresAt(ask)) {
-            finish(ask);
+    public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
+        if (kind == HostListKind.FAILED) {
+            actions.startTimer(RESUBSCRIBE_AFTER_MS, SUBSCRIBE_TOKEN);
             return;
         }
-        switch (evaluate(now, ask, planKnown)) {
-            case ADMIT -> letIn(now, ask);
-            case REJECT -> decide(now, ask, false);
-            case ASK_OWNER -> {
-                OwnerRequest ownerRequest = new OwnerRequest(c, new HeldRequest(ask));
-                ask.awaitOwner(ownerRequest);
-                gossip.ask(now, ownerRequest, r.arrivedMs());
-            }
-        }
-        if (c != null && ask.isAdmitted()) gossip.quotaChanged(now, c);
-        gossip.flush(now);
-    }
-
-    private AdmissionVerdict evaluate(double now, PendingRequest ask, boolean planKnown) {
-        if (ask.quota() != null) return admission.evaluate(now, ask.quota(), ask);
-        return planKnown ? AdmissionVerdict.REJECT : AdmissionVerdict.ADMIT; // known, but the table is full
-    }
-
-    /** A request whose decision is up to an owner of its customer's quota. */
-    private final class HeldRequest implements QuotaApplicant {
-        private final PendingRequest ask;
-
-        HeldRequest(PendingRequest ask) {
-            this.ask = ask;
-        }
-
-        @Override
-        public double units() {
-            return ask.units();
-        }
-
-        @Override
-        public double decisionDueAt() {
-            return RequestExpiry.answerDueAt(ask);
-        }
-
-        @Override
-        public boolean isSettled() {
-            return ask.isClosed() || ask.isAdmitted();
-        }
-
-        @Override
-        public void decided(double now, boolean admitted) {
-            decide(now, ask, admitted);
-        }
+        loadBalancer.hostsUpdated(now, kind, hosts);
+        requests.dispatch(now);
     }
 
-    private void letIn(double now, PendingRequest ask) {
-        ask.markAdmitted();
-        if (ask.quota() != null) ask.quota().admitted(now, ask.units(), ask.expectedWorkMs());
-        scheduler.enqueue(ask);
-        release(now);
-        // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
-        boolean held = !ask.isClosed() && !ask.hasAttempts();
-        if (held && now + scheduler.drainTimeMs(ask.trafficClass()) >= RequestExpiry.expiresAt(ask)) finish(ask);
+    @Override
+    public void requestReceived(double now, Request request) {
+        TrafficClass trafficClass = classes.find(request.requestClass());
+        // A class that the settings do not name cannot be judged.
+        if (trafficClass == null) actions.reject(request.id(), RetryAfter.NONE);
+        else admission.receive(now, request, trafficClass);
     }
 
     @Override
     public void requestCompleted(double now, String id, double deadlineMs) {
-        PendingRequest ask = asks.get(id);
-        if (ask == null || !ask.isBodyPending()) return;
-        ask.complete(now, deadlineMs);
-        for (Attempt a : ask.attempts()) {
-            if (a.isOpen()) place(now, a);
-        }
+        PendingRequest request = pending.find(id);
+        if (request != null) attempts.requestCompleted(now, request, deadlineMs);
     }
 
     @Override
     public void requestNotReplayable(double now, String id) {
-        PendingRequest ask = asks.get(id);
-        if (ask != null) ask.markNotReplayable();
+        PendingRequest request = pending.find(id);
+        if (request != null) request.markNotReplayable();
     }
 
-    /** The host's work is done once its answer begins; what is left is the client's pace. */
     @Override
     public void responseStarted(double now, String id, int attempt) {
-        PendingRequest ask = asks.get(id);
-        if (ask == null) return;
-        ask.markResponding();
-        Attempt a = ask.attempt(attempt);
-        if (a != null) vacate(a);
-        release(now);
+        PendingRequest request = pending.find(id);
+        if (request != null) attempts.responseStarted(now, request, attempt);
     }
 
     @Override
-    public void attemptEnded(double now, AttemptResult r) {
-        PendingRequest ask = asks.get(r.requestId());
-        Attempt a = ask == null ? null : ask.attempt(r.attempt());
-        if (a == null || !a.isOpen()) return;
-        a.end(r.outcome());
-        vacate(a);
-        learn(now, ask, a, r);
-        if (r.requestClosed()) {
-            close(ask);
-        } else if (!ask.isClosed() && !ask.hasOpenAttempt()) {
-            if (retries.takeRetry(now, ask) && r.outcome() != Outcome.NOT_SENT) scheduler.requeue(ask);
-            else finish(ask);
-        }
-        if (ask.isClosed() && !ask.hasOpenAttempt()) asks.remove(ask.id());
-        release(now);
+    public void attemptEnded(double now, AttemptResult result) {
+        PendingRequest request = pending.find(result.requestId());
+        if (request != null) attempts.ended(now, request, result);
     }
 
     @Override
     public void clientDisconnected(double now, String id) {
-        PendingRequest ask = asks.get(id);
-        if (ask == null) return;
-        close(ask);
-        for (Attempt a : ask.attempts()) {
-            if (a.isOpen() && set.limits().cancellation() && !ask.isResponding()) act.cancelAttempt(id, a.number());
-        }
+        PendingRequest request = pending.find(id);
+        if (request != null) requests.clientDisconnected(request);
     }
 
     @Override
     public void timerFired(double now, String token) {
-        if (token.equals("watch")) act.subscribeToHosts();
-        if (!token.equals("beat")) return;
-        act.startTimer(TICK_MS, "beat");
-        noteStall(now);
-        expire(now);
+        if (token.equals(SUBSCRIBE_TOKEN)) actions.subscribeToHosts();
+        if (token.equals(TICK_TOKEN)) tick(now);
+    }
+
+    /** The order matters: what expires or is overdue frees slots for what is dispatched at the end. */
+    private void tick(double now) {
+        actions.startTimer(TICK_MS, TICK_TOKEN);
+        double stalledMs = stalls.noteTick(now);
+        if (stalledMs > 0) gossip.stalled(stalledMs);
+        for (TrafficClass trafficClass : classes.all()) {
+            requests.expire(now, trafficClass);
+        }
         gossip.checkOverdueReplies(now);
         loadBalancer.refreshIfDue(now);
-        watchHealth(now);
+        attempts.detectOverdue(now);
         limit.adapt(now);
         weights.update(now);
-        sweep(now);
-        release(now);
+        cleanUp(now);
+        requests.dispatch(now);
         gossip.flush(now);
     }
 
-    /** What came while this gateway stood still is read only now: no peer or host is blamed for that. */
-    private void noteStall(double now) {
-        double late = stalls.noteTick(now);
-        if (late > 0) gossip.stalled(late);
+    private void cleanUp(double now) {
+        if (now - cleanedUpAt < CLEANUP_MS) return;
+        cleanedUpAt = now;
+        quotas.forgetIdle(now, gossip::release);
+        loadBalancer.removeUnlisted();
+    }
+
+    @Override
+    public void peerMessageReceived(double now, int peer, byte[] data) {
+        if (gossip != null) gossip.receive(now, peer, data); // before the start no peer is known
     }
 
-    /** Avoided is what the list says not to use, and what has done so badly that others come before it. */
     @Override
     public ClusterHealth clusterHealth(double now) {
         return loadBalancer.clusterHealth(now);
@@ -265,174 +189,18 @@
 
     /** Before the first request all is taken over; from then on only what the other process still uses. */
     @Override
-    public void restoreSnapshot(double now, Snapshot books) {
-        for (QuotaSnapshot b : books.quotas()) quotas.restore(now, books.takenAtMs(), b);
-        if (!asks.isEmpty() || classes.haveSamples()) return;
-        limit.restore(books.concurrencyPerHost());
-        loadBalancer.restore(now, books.health());
-        classes.restore(books.classes());
-    }
-
-    private void decide(double now, PendingRequest ask, boolean in) {
-        if (in) letIn(now, ask);
-        if (in) return;
-        close(ask);
-        CustomerQuota c = ask.quota();
-        act.reject(ask.id(), retryAfter.of(c == null ? QuotaTable.FORGET_AFTER_MS : c.retryAfterMs(now, ask.units())));
-    }
-
-    @Override
-    public void peerMessageReceived(double now, int peer, byte[] data) {
-        if (gossip != null) gossip.receive(now, peer, data); // before the start no peer is known
+    public void restoreSnapshot(double now, Snapshot snapshot) {
+        for (QuotaSnapshot quota : snapshot.quotas()) {
+            quotas.restore(now, snapshot.takenAtMs(), quota);
+        }
+        if (!pending.isEmpty() || classes.haveSamples()) return;
+        limit.restore(snapshot.concurrencyPerHost());
+        loadBalancer.restore(now, snapshot.health());
+        classes.restore(snapshot.classes());
     }
 
-    /** For tests. */
+    /** For tests of the policy as a whole. */
     LoadBalancer loadBalancer() {
         return loadBalancer;
     }
-
-    /** Dispatches what may leave now. */
-    private void release(double now) {
-        scheduler.dispatch(now, limit.slots(loadBalancer.capacity()));
-    }
-
-    private final class AttemptDispatcher implements Dispatcher<PendingRequest, Endpoint> {
-        @Override
-        public Endpoint findDestination(double now, PendingRequest request) {
-            return loadBalancer.pick(now, placement(now, request));
-        }
-
-        @Override
-        public void dispatch(double now, PendingRequest request, Endpoint endpoint) {
-            send(now, request, endpoint);
-        }
-    }
-
-    private void send(double now, PendingRequest ask, Endpoint s) {
-        boolean first = !ask.hasAttempts();
-        Attempt a = ask.addAttempt(s, now);
-        if (first) {
-            retries.noteFirstAttempt();
-            ask.trafficClass().noteHold(now - ask.arrivedAt());
-            if (ask.quota() != null) ask.quota().sent(ask.units());
-        }
-        loadBalancer.attemptSent(s);
-        if (!ask.isBodyPending()) place(now, a);
-        act.sendAttempt(ask.id(), s.host().id(), 0);
-    }
-
-    /** An attempt begins to work; one whose request is still arriving does not yet. */
-    private void place(double now, Attempt a) {
-        if (a.isWorking()) return;
-        a.beginWork(now, stalls.totalMs());
-        loadBalancer.attemptStarted(a.endpoint(), a.expectedWorkMs());
-        atWork.computeIfAbsent(a.endpoint(), s -> new LinkedHashSet<>(4)).add(a);
-        limit.acquire();
-    }
-
-    private void vacate(Attempt a) {
-        if (!a.isWorking()) return;
-        a.endWork();
-        limit.release();
-        loadBalancer.attemptFinished(a.endpoint(), a.expectedWorkMs());
-        LinkedHashSet<Attempt> atEndpoint = atWork.get(a.endpoint());
-        atEndpoint.remove(a);
-        if (atEndpoint.isEmpty()) atWork.remove(a.endpoint());
-    }
-
-    private void expire(double now) {
-        for (TrafficClass c : classes.all()) {
-            for (PendingRequest ask : scheduler.waiting(c, a -> now >= RequestExpiry.expiresAt(a))) {
-                c.noteHold(now - ask.arrivedAt());
-                finish(ask); // takes it from the queue
-            }
-        }
-    }
-
-    /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
-    private void finish(PendingRequest ask) {
-        if (ask.isAdmitted() && !ask.isClosed()) lateness.note(true);
-        boolean harmless = RetryPolicy.isRejectionHarmless(ask);
-        close(ask);
-        // A place may be had once what is held now has left.
-        if (harmless) act.reject(ask.id(), retryAfter.of(scheduler.drainTimeMs(ask.trafficClass())));
-        else act.fail(ask.id());
-    }
-
-    private void close(PendingRequest ask) {
-        if (!ask.hasOpenAttempt()) asks.remove(ask.id());
-        if (ask.isClosed()) return;
-        ask.markClosed();
-        scheduler.remove(ask);
-        CustomerQuota c = ask.quota();
-        if (c == null) return;
-        if (ask.ownerRequest() != null) gossip.withdraw(ask.ownerRequest());
-        if (!ask.isAdmitted()) return;
-        c.closed();
-        if (!ask.hasAttempts() || ask.isBodyPending()) { // let in but never sent whole: the units go back
-            c.giveBack(ask.units());
-        }
-    }
-
-    // ---- attempts
-
-    private PlacementRequest placement(double now, PendingRequest ask) {
-        Attempt first = ask.firstThatMayHaveRun();
-        return new PlacementRequest(
-                ask.trafficClass().spec(),
-                ask.expectedWorkMs(),
-                retries.isRepeatable(now, ask),
-                first == null ? null : first.endpoint().host(),
-                endpointsOf(ask.attempts()));
-    }
-
-    private static List<Endpoint> endpointsOf(List<Attempt> attempts) {
-        if (attempts.isEmpty()) return List.of();
-        List<Endpoint> endpoints = new ArrayList<>(attempts.size());
-        for (Attempt attempt : attempts) endpoints.add(attempt.endpoint());
-        return endpoints;
-    }
-
-    private void learn(double now, PendingRequest ask, Attempt a, AttemptResult r) {
-        Endpoint s = a.endpoint();
-        TrafficClass c = ask.trafficClass();
-        loadBalancer.recordResult(now, s, c.spec(), a.expectedWorkMs(), r);
-        if (r.outcome() == Outcome.OK) {
-            c.noteServed(r.latencyMs(), now - ask.arrivedAt(), ask.units());
-            lateness.note(now - ask.arrivedAt() > c.spec().latencyObjectiveMs());
-            if (ask.quota() != null && set.sharing().postPaid() && r.trueUnits() > 0) {
-                ask.quota().charge(r.trueUnits() - ask.units());
-            }
-        }
-        if (r.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
-        if (r.outcome() == Outcome.OK) {
-            double baseMs = c.latency().baseMs(ask.units());
-            limit.noteResponse(r.latencyMs(), baseMs, c.spec().latencyObjectiveMs());
-        }
-        if (ask.quota() != null) admission.meterReported(now, ask.quota(), ask, r.quotaUsedPercent());
-    }
-
-    private void watchHealth(double now) {
-        for (Endpoint s : new ArrayList<>(atWork.keySet())) {
-            for (Attempt a : new ArrayList<>(atWork.getOrDefault(s, new LinkedHashSet<>()))) {
-                double expected = a.expectedWorkMs() * Math.max(1, s.latencyPenalty(now));
-                double waited = a.elapsedMs(now, stalls.totalMs());
-                if (a.isOverdue() || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
-                a.markOverdue();
-                loadBalancer.recordOverdue(now, s, a.request().trafficClass().spec());
-                if (retries.shouldCancel(now, a)) act.cancelAttempt(a.request().id(), a.number());
-            }
-        }
-    }
-
-    private int gatewayCount() {
-        return Math.max(1, set.gatewayCount());
-    }
-
-    private void sweep(double now) {
-        if (now - sweptAt < SWEEP_MS) return;
-        sweptAt = now;
-        quotas.forgetIdle(now, gossip::release);
-        loadBalancer.removeUnlisted();
-    }
 }
--- a/src/test/java/caperrudder/policy/TrafficPolicyTest.java
+++ b/src/test/java/caperrudder/policy/TrafficPolicyTest.java
@@ -28,7 +28,7 @@
 
 /** Scheduling, retries and endpoint choice of one gateway as a whole; determinism; the size of the policy. */
 class TrafficPolicyTest {
-    private static final int FILE_LINES = 1200; // not blank, of the longest file
+    private static final int FILE_LINES = 400; // not blank, of the longest file
 
     private static void requestThatWaited(FakeGateway g, String id, double waited, int spread, long customer) {
         g.brain.requestReceived(
