--- a/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
@@ -57,7 +57,7 @@
     }
 
     /**
-     * A request was admitted. Where others are known by the meter alone, one that admits request after request counts on
+     * A request was admitted. Where others are known by the meter alone, one that admits one after another counts on
      * many that do the same: the next one is admitted no sooner than if some of the set in turn kept the limit in use.
      *
      * @param expectedMs time that the request is expected to be open
