--- a/src/main/java/caperrudder/Main.java
+++ b/src/main/java/caperrudder/Main.java
@@ -19,7 +19,7 @@
         }
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
-            case "serve" -> caperrudder.server.GatewayServer.main(
+            case "serve" -> caperrudder.server.GatewayProcess.main(
                     System.getenv("NODE_CONFIG"), System.getenv("NODE_ADMIN_ADDR"));
             case "rehearse" -> caperrudder.server.StartupProfileRun.run();
             case "wirehost" -> caperrudder.simulator.SimulatorCommand.main(args);
--- a/src/main/java/caperrudder/server/StartupProfileRun.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -1,5 +1,6 @@
 package caperrudder.server;
 
+import caperrudder.api.Snapshot;
 import caperrudder.server.admin.AdminServer;
 import caperrudder.server.config.ConfigurationReloader;
 import caperrudder.server.config.GatewayConfig;
@@ -13,6 +14,7 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -20,13 +22,15 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * One short life of a node that is its own host, peer and discovery, so that each part runs once. The build keeps
- * the classes that it loads in an archive, from which a restarted node starts in half the time.
+ * The command {@code rehearse}: one short run of a gateway that is its own host, peer and discovery agent, so that each
+ * part runs once. The build keeps the classes that it loads in an archive (deploy file, {@code build}), from which a
+ * restarted gateway starts in half the time.
  */
 public final class StartupProfileRun {
-    private static final int ENOUGH = 64; // bytes that hold a status line
-    private static final int PATIENCE_MS = 10_000;
-    private static final long BUILD_PATIENCE_MS = 60_000; // a build's machine may be slow, but a stall fails it
+    private static final int ANSWER_MIN_BYTES = 64; // they hold a status line
+    private static final int READ_TIMEOUT_MS = 10_000;
+    private static final long WARM_UP_TIMEOUT_MS = 60_000; // a build's machine may be slow, but a stall fails it
+    private static final String CLAIM_FILE = "caperrudder-claim";
     private static final String CONFIG =
             """
             {"name": "rehearsal", "listen": "%1$s", "discovery": "%1$s", "seed": "1", "peer_listen": "%1$s",
@@ -47,62 +51,77 @@
 
     private StartupProfileRun() {}
 
-    /** Returns when all has been gone through. */
+    /**
+     * Returns when each part has run.
+     *
+     * @throws IOException where a part failed
+     */
     public static void run() throws IOException, InterruptedException {
         LibraryLog.install();
-        int port;
-        try (java.net.ServerSocket free = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
-        }
-        InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        String address = at.getAddress().getHostAddress() + ':' + port;
+        InetSocketAddress address = freeAddress();
         KnownEndpoints known = new KnownEndpoints();
-        GatewayConfig config = GatewayConfig.read(
-                new ByteArrayInputStream(CONFIG.formatted(address).getBytes(StandardCharsets.UTF_8)), known);
-        GatewayServer node = new GatewayServer(config, known.list());
+        GatewayConfig config = config(address, known);
+        GatewayServer server = new GatewayServer(config, known.list());
         ConfigurationReloader.onHangup("");
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        try (AdminServer admin = new AdminServer(
-                any, DescriptorBudget.exclusive(config.limits().sockets()).admin(), node::isReady, node::metrics)) {
-            if (StartupWarmUp.run(config, StartupWarmUp.ENOUGH_ANSWERS, BUILD_PATIENCE_MS, () -> false)
-                    < StartupWarmUp.ENOUGH_ANSWERS) {
-                throw new IOException("the warm-up came to a halt");
-            }
-            node.start();
-            ask(at, "/healthz", "0", 1);
-            ask(at, "/view/alone", "1", 1);
-            ask(at, "/view/shared", "2", 2);
-            InetSocketAddress second = new InetSocketAddress(any.getAddress(), admin.port());
-            ask(second, "/api/ready", "3", 1);
-            ask(second, "/api/telemetry", "4", 1);
-            follow(node);
+        InetSocketAddress anyAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        int adminConnections =
+                DescriptorBudget.exclusive(config.limits().sockets()).admin();
+        try (AdminServer admin = new AdminServer(anyAddress, adminConnections, server::isReady, server::metrics)) {
+            warmUp(config);
+            server.start();
+            request(address, "/healthz", "0", 1);
+            request(address, "/view/alone", "1", 1);
+            request(address, "/view/shared", "2", 2);
+            InetSocketAddress adminAddress = new InetSocketAddress(anyAddress.getAddress(), admin.port());
+            request(adminAddress, "/api/ready", "3", 1);
+            request(adminAddress, "/api/telemetry", "4", 1);
+            handOver(server);
         } catch (ExecutionException | SnapshotFormatException e) {
             throw new IOException(e);
         } finally {
-            node.stop(); // or a build would never end
+            server.stop(); // or a build would never end
+        }
+    }
+
+    private static InetSocketAddress freeAddress() throws IOException {
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
+        }
+    }
+
+    private static GatewayConfig config(InetSocketAddress address, KnownEndpoints known) throws IOException {
+        String text = CONFIG.formatted(address.getAddress().getHostAddress() + ':' + address.getPort());
+        return GatewayConfig.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), known);
+    }
+
+    private static void warmUp(GatewayConfig config) throws IOException, InterruptedException {
+        int answers = StartupWarmUp.run(config, StartupWarmUp.ENOUGH_ANSWERS, WARM_UP_TIMEOUT_MS, () -> false);
+        if (answers < StartupWarmUp.ENOUGH_ANSWERS) {
+            throw new IOException("the warm-up came to a halt");
         }
     }
 
-    private static void follow(GatewayServer node)
+    private static void handOver(GatewayServer server)
             throws IOException, InterruptedException, ExecutionException, SnapshotFormatException {
         Path shared = Files.createTempDirectory(Path.of("target"), "rehearsal");
-        ProcessHandover handover = new ProcessHandover(node, shared.toString(), node.clock);
+        ProcessHandover handover = new ProcessHandover(server, shared.toString(), server.clock());
         handover.begin();
         handover.startServing();
         if (handover.predecessorSnapshot().isPresent() || handover.hasServingSuccessor()) {
             throw new IOException("another process where there is none");
         }
-        SnapshotCodec.decode(SnapshotCodec.encode(node.takeSnapshot()));
+        Snapshot snapshot = server.takeSnapshot();
+        SnapshotCodec.decode(SnapshotCodec.encode(snapshot));
         handover.end();
-        Files.delete(shared.resolve("caperrudder-claim"));
+        Files.delete(shared.resolve(CLAIM_FILE));
         Files.delete(shared);
     }
 
-    private static void ask(InetSocketAddress at, String path, String id, int spread) throws IOException {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
-            socket.setSoTimeout(PATIENCE_MS);
-            socket.getOutputStream().write(REQUEST.formatted(path, id, spread).getBytes(StandardCharsets.US_ASCII));
-            if (socket.getInputStream().readNBytes(ENOUGH).length == 0) {
+    private static void request(InetSocketAddress address, String path, String id, int replicas) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(READ_TIMEOUT_MS);
+            socket.getOutputStream().write(REQUEST.formatted(path, id, replicas).getBytes(StandardCharsets.US_ASCII));
+            if (socket.getInputStream().readNBytes(ANSWER_MIN_BYTES).length == 0) {
                 throw new IOException("no answer to " + path);
             }
         }
--- a/src/test/java/caperrudder/server/ClosingTest.java
+++ b/src/test/java/caperrudder/server/ClosingTest.java
@@ -72,11 +72,11 @@
         Socket s = slow(node);
         s.getOutputStream().write(bytes(view("v", TIME)));
         awaitAnswered(node, 1);
-        node.loop.submit(node::stopServing).sync();
+        node.loop().submit(node.drain()::stopServing).sync();
         s.getOutputStream().write(bytes(view("w", TIME)));
         assertTakenWhole(s);
         s.close();
-        assertTrue(node.awaitDrained(TIME));
+        assertTrue(node.drain().awaitDrained(TIME));
         assertEquals(1, node.metrics().attemptsSent());
     }
 
@@ -89,9 +89,9 @@
         assertEquals("for v ", c.send(view("v", TIME)).receive().text());
         Client half = client(node);
         assertEquals("for u ", half.send(view("u", TIME)).receive().text());
-        node.loop
+        node.loop()
                 .submit(() -> {
-                    node.stopServing();
+                    node.drain().stopServing();
                     c.send(view("w", TIME));
                     return null;
                 })
@@ -101,7 +101,7 @@
         half.send("GET /view/x HTTP/1.1\r\nX-Tr");
         c.close();
         half.close();
-        assertTrue(node.awaitDrained(TIME));
+        assertTrue(node.drain().awaitDrained(TIME));
         assertEquals(2, host.asked.size());
     }
 
@@ -111,9 +111,9 @@
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client c = client(node);
         assertEquals(200, c.send(view("v", TIME)).receive().status());
-        node.loop.submit(node::stopServing).sync();
+        node.loop().submit(node.drain()::stopServing).sync();
         assertNull(c.receive());
-        assertTrue(node.awaitDrained(TIME));
+        assertTrue(node.drain().awaitDrained(TIME));
     }
 
     /** Nor does one that goes on sending without end: it is read away only for a while. */
--- a/src/test/java/caperrudder/server/DrainTest.java
+++ b/src/test/java/caperrudder/server/DrainControllerTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What crosses a planned stop: each request taken gets its one answer. */
-class DrainTest extends SocketTest {
+class DrainControllerTest extends SocketTest {
 
     /** A client that takes nothing yet, so that answers wait here for it. */
     private Socket slowClient(GatewayServer node) throws Exception {
@@ -49,7 +49,7 @@
 
     /** The connection counted as idle and was closed: answers that its client had yet to take were lost. */
     @Test
-    void answersThatWaitForTheirClientAreTakenBeforeTheConnectionEnds() throws Exception {
+    void pendingResponsesReachASlowClientBeforeItsConnectionCloses() throws Exception {
         String body = "x".repeat(60_000);
         GatewayServer node = nodeBefore(host((m, s) -> s.getOutputStream().write(Sockets.ok(body))));
         int count = 400; // more than the buffers of both sides hold
@@ -67,7 +67,7 @@
         });
         asking.start();
         awaitStall(node);
-        node.loop.submit(node::stopServing).sync();
+        node.loop().submit(node.drain()::stopServing).sync();
         int got = 0;
         for (Message m = Sockets.read(slow.getInputStream());
                 m != null && m.header("Connection") == null;
@@ -76,27 +76,27 @@
             got++;
         }
         assertTrue(got >= 16, "only " + got + " answers came whole"); // what had been read, and what was on its way
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
     }
 
     /** Its end may come only after the process has gone; closing says that nothing was taken. */
     @Test
-    void aHalfReadRequestIsClosedOnOnceNothingIsServedAnyMore() throws Exception {
+    void incompleteRequestIsClosedOnceTheDrainIsOver() throws Exception {
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client half = client(node);
         assertEquals(200, half.send(view("v", Sockets.PATIENCE_MS)).receive().status());
         half.send("GET /view/w HTTP/1.1\r\nX-Tr");
         Client other = client(node); // answered after the half has been read
         assertEquals(200, other.send(view("x", Sockets.PATIENCE_MS)).receive().status());
-        node.loop.submit(node::stopServing).sync();
-        node.loop.submit(node::abandonOpenRequests).sync();
+        node.loop().submit(node.drain()::stopServing).sync();
+        node.loop().submit(node::abandonOpenRequests).sync();
         assertNull(half.receive());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
     }
 
     /** The rest of a request that was half read when idle connections were closed is still taken. */
     @Test
-    void aHalfReadRequestThatEndsInTimeIsServed() throws Exception {
+    void incompleteRequestThatCompletesDuringADrainIsServed() throws Exception {
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client half = client(node);
         assertEquals(200, half.send(view("v", Sockets.PATIENCE_MS)).receive().status());
@@ -104,33 +104,33 @@
         half.send(request.substring(0, 30));
         assertEquals(
                 200, client(node).send(view("x", Sockets.PATIENCE_MS)).receive().status());
-        node.loop.submit(node::stopServing).sync();
+        node.loop().submit(node.drain()::stopServing).sync();
         Message answer = half.send(request.substring(30)).receive();
         assertEquals("for w ", answer.text());
         assertEquals("close", answer.header("Connection"));
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
     }
 
     /** Told to end before it took anyone, it takes nobody and is done. */
     @Test
-    void aNodeThatIsToEndBeforeItListensNeverDoes() throws Exception {
+    void drainBeforeTheStartKeepsTheListenerClosed() throws Exception {
         registry = kept(new Sockets.Registry(Sockets.list(1, true)));
         GatewayServer node =
                 Sockets.unstarted(Sockets.config(registry.server.address(), "127.0.0.1:0"), TrafficPolicy::new);
         ends.push(node::stop);
-        node.loop.submit(() -> node.end(false)).sync();
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        node.loop().submit(() -> node.drain().begin(false)).sync();
+        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
         assertTrue(!node.start() && !node.isReady());
     }
 
     /** From the first moment of listening on: the first client's request is open when the end is told. */
     @Test
-    void theFirstRequestOfANodeThatIsToEndIsAnswered() throws Exception {
+    void requestOpenAtTheBeginOfADrainIsAnswered() throws Exception {
         Server host = host(SocketTest::echo);
         GatewayServer node = nodeBefore(host);
         Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
-        node.loop.submit(() -> node.end(false)).sync();
+        node.loop().submit(() -> node.drain().begin(false)).sync();
         assertEquals("for v ", c.receive().text());
     }
 }
--- a/src/test/java/caperrudder/server/ProcessTest.java
+++ b/src/test/java/caperrudder/server/GatewayProcessTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The program as the platform starts and ends it. */
-class ProcessTest {
+class GatewayProcessTest {
     private static final int DESCRIPTORS = 100;
     private static final int LIMIT = 128; // which the configuration tells as well
 
@@ -124,7 +124,7 @@
 
     /** The event loop once died of this: the warning that no descriptor was left itself needed one. */
     @Test
-    void runningOutOfDescriptorsPasses() throws Exception {
+    void servesAgainAfterDescriptorsWereExhausted() throws Exception {
         startServing();
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
@@ -165,7 +165,7 @@
 
     /** Clients in use, hosts and a crowd have all that they may, and each call to discovery takes a descriptor anew. */
     @Test
-    void discoveryAndHostsAreReachedThoughClientsTakeAllDescriptorsTheyCan() throws Exception {
+    void discoveryAndHostsAreReachedWhileClientsHoldAllTheirDescriptors() throws Exception {
         choosePort();
         int second = port;
         choosePort();
@@ -259,13 +259,13 @@
 
     /** Else its first clients meet interpreted code, which on a part of a core serves half of them. */
     @Test
-    void isReadyOnlyOnceItsCodeIsWarm() throws Exception {
+    void readyOnlyAfterTheWarmUp() throws Exception {
         startServing();
         assertTrue(Files.readString(dir.resolve("log")).contains("INFO gateway: warmed up answers="));
     }
 
     @Test
-    void sigtermEndsItInOrder() throws Exception {
+    void sigtermExitsWithZero() throws Exception {
         startServing();
         process.destroy();
         assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
@@ -274,7 +274,7 @@
 
     /** Between its first call for the list, just before it listens, and its first client, it once died of the signal. */
     @Test
-    void sigtermJustBeforeItListensEndsItInOrder() throws Exception {
+    void sigtermJustBeforeListeningExitsWithZero() throws Exception {
         try (Sockets.Server silent = new Sockets.Server((m, s) -> {})) {
             choosePort();
             start(config(silent.address()));
@@ -287,7 +287,7 @@
 
     /** SIGHUP once ended the process; each new file moves discovery, and one that can't be read moves nothing. */
     @Test
-    void sighupFollowsDiscoveryAndSigtermStillEndsIt() throws Exception {
+    void sighupFollowsDiscoveryAndSigtermStillExitsWithZero() throws Exception {
         try (Sockets.Registry first = new Sockets.Registry(Sockets.list(7, true));
                 Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true))) {
             startServing();
@@ -315,7 +315,7 @@
 
     /** Each once found the address in use. The first file is torn, and a second SIGTERM changes nothing. */
     @Test
-    void oneProcessAfterTheOtherTakesOverTheAddress() throws Exception {
+    void eachSuccessorTakesOverTheAddressAndTheSnapshot() throws Exception {
         Path shared = Files.createDirectories(dir.resolve("shared"));
         Files.write(shared.resolve("caperrudder-books"), new byte[] {1, 2, 3});
         Files.writeString(shared.resolve("caperrudder-claim"), "1 12");
@@ -365,7 +365,7 @@
 
     /** Such a list was asked for six times a second, or filled the heap; the last good one has to serve on. */
     @Test
-    void aListBeyondItsMemoryIsRefusedInOneLineAndSeldomAskedFor() throws Exception {
+    void listBeyondMemoryIsRejectedWithOneLogLineAndSeldomPolled() throws Exception {
         byte[] beyond = Sockets.ok(longList(2, 20_000));
         try (Sockets.Server host =
                         new Sockets.Server((m, s) -> s.getOutputStream().write(Sockets.ok("ok")));
@@ -395,7 +395,7 @@
 
     /** The main thread once ended with the heap full, and the process neither served nor ended. */
     @Test
-    void knownHostsBeyondItsMemoryAreRefusedInOneLineAndTheAgentIsAskedForAll() throws Exception {
+    void knownEndpointsBeyondMemoryAreRejectedWithOneLogLineAndTheWholeListIsPolled() throws Exception {
         try (Sockets.Server host =
                         new Sockets.Server((m, s) -> s.getOutputStream().write(Sockets.ok("ok")));
                 Sockets.Registry agent =
@@ -413,7 +413,7 @@
     /** It waits for the first list for a moment only, and what its warm-up does has nothing to do with the fleet. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLongListAndNoAgentHoldAStartUpByAFewCallsAndTheWarmUp(boolean silent) throws Exception {
+    void longKnownListWithoutAnAgentDelaysTheStartByAFewPollsAndTheWarmUp(boolean silent) throws Exception {
         try (Sockets.Server agent = new Sockets.Server((m, s) -> {})) {
             choosePort();
             process = launch(config(silent ? agent.address() : "127.0.0.1:1", longList(41, 10_000)), "log", "-Xmx48m");
@@ -429,7 +429,7 @@
     }
 
     @Test
-    void aBadConfigurationEndsItWithOneLine() throws Exception {
+    void badConfigurationExitsWithOneLogLine() throws Exception {
         start("{\"name\": \"n0\"}");
         assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, process.exitValue());
--- a/src/test/java/caperrudder/server/GatewayServerTest.java
+++ b/src/test/java/caperrudder/server/GatewayServerTest.java
@@ -459,12 +459,12 @@
         assertEquals(200, client.send(view("r1", Sockets.PATIENCE_MS)).receive().status());
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch sent = new CountDownLatch(1);
-        node.loop.execute(() -> {
+        node.loop().execute(() -> {
             busy.countDown();
             try {
                 sent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
-                double end = node.clock.now() + 1500;
-                while (node.clock.now() < end) {
+                double end = node.clock().now() + 1500;
+                while (node.clock().now() < end) {
                     Thread.sleep(1);
                 }
             } catch (InterruptedException e) {
@@ -494,10 +494,10 @@
             ends.push(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             stranger.send(new DatagramPacket(new byte[8], 8, to));
-            assertFalse(node.isMissed());
+            assertFalse(node.hasHeardPeers());
             peer.send(new DatagramPacket(new byte[8], 8, to));
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-            while (!node.isMissed()) {
+            while (!node.hasHeardPeers()) {
                 assertTrue(System.nanoTime() < end, "the peer was not heard");
                 Thread.sleep(5);
             }
@@ -515,10 +515,10 @@
         Client busy = client(node).send(view("v", Sockets.PATIENCE_MS));
         Client idle = client(node);
         assertNotNull(host.next());
-        node.loop.submit(node::drain).sync();
+        node.loop().submit(() -> node.drain().begin(false)).sync();
         Client late = client(node).send(view("w", Sockets.PATIENCE_MS)); // clients still come for a while
         assertNotNull(host.next());
-        node.loop.submit(node::stopServing).sync();
+        node.loop().submit(node.drain()::stopServing).sync();
         draining.countDown();
         for (Client c : List.of(busy, late)) {
             Message answer = c.receive();
@@ -527,7 +527,7 @@
             assertNull(c.receive());
         }
         assertNull(idle.receive());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
     }
 
     /** Each once ended with its next answer: where gateways restart in turn, their clients then found none at all. */
@@ -537,16 +537,16 @@
         Client kept = client(node);
         assertEquals(
                 "for v ", kept.send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        node.loop.submit(node::drain).sync();
-        node.loop.submit(node::stopAccepting).sync().getNow().sync();
+        node.loop().submit(() -> node.drain().begin(false)).sync();
+        node.loop().submit(node::stopAccepting).sync().getNow().sync();
         for (String id : List.of("w", "x")) {
             assertEquals(
                     "for " + id + " ",
                     kept.send(view(id, Sockets.PATIENCE_MS)).receive().text());
         }
-        node.loop.submit(node::stopServing).sync();
+        node.loop().submit(node.drain()::stopServing).sync();
         assertNull(kept.receive());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
     }
 
     /** Closing the listener resets who stands in its queue: they come while the loop is busy. */
@@ -554,7 +554,7 @@
     void whoWaitsAtTheDoorIsServedBeforeANodeGivesWay() throws Exception {
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         CountDownLatch came = new CountDownLatch(1);
-        node.loop.execute(() -> {
+        node.loop().execute(() -> {
             try {
                 came.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
@@ -565,7 +565,7 @@
         for (int i = 0; i < 20; i++) {
             waiting.add(client(node).send(view("w" + i, Sockets.PATIENCE_MS)));
         }
-        node.loop.execute(node::giveWay);
+        node.loop().execute(() -> node.drain().begin(true));
         came.countDown();
         for (Client c : waiting) {
             Message answer = c.receive();
@@ -573,7 +573,7 @@
             assertEquals("close", answer.header("Connection"));
             assertNull(c.receive());
         }
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
     }
 
     /** The next process of a gateway takes clients before the last one leaves. */
@@ -583,8 +583,8 @@
         GatewayServer second = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"127.0.0.1:" + first.port() + "\""));
         ends.push(second::stop);
-        first.loop.submit(first::giveWay).sync();
-        assertTrue(first.awaitDrained(Sockets.PATIENCE_MS));
+        first.loop().submit(() -> first.drain().begin(true)).sync();
+        assertTrue(first.drain().awaitDrained(Sockets.PATIENCE_MS));
         assertEquals(
                 "for v ",
                 client(second).send(view("v", Sockets.PATIENCE_MS)).receive().text());
@@ -611,9 +611,9 @@
         GatewayServer node = nodeBefore(host);
         Client c = client(node).send(order("o", "b"));
         assertNotNull(host.next());
-        node.loop.submit(node::drain).sync();
+        node.loop().submit(() -> node.drain().begin(false)).sync();
         assertEquals(502, c.receive().status());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
     }
 
     /** A module that does only what a test says of a request. */
--- a/src/test/java/caperrudder/server/HostAnswersTest.java
+++ b/src/test/java/caperrudder/server/HostAnswersTest.java
@@ -186,7 +186,7 @@
         GatewayServer node = nodeBefore(host);
         Client c = client(node);
         assertEquals("for v ", c.send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        awaitClock(node, node.clock.now() + 50); // it may carry the next request now
+        awaitClock(node, node.clock().now() + 50); // it may carry the next request now
         CountDownLatch come = holdLoop(node);
         c.send(order("o", "b"));
         used.element().getOutputStream().write(bytes(unasked));
--- a/src/test/java/caperrudder/server/LeavingClientTest.java
+++ b/src/test/java/caperrudder/server/LeavingClientTest.java
@@ -215,13 +215,13 @@
         GatewayServer node = nodeBefore(host);
         awaitWatches(1);
         assertEquals("for u ", client(node).send(view("u", TIME)).receive().text());
-        double rested = node.clock.now() + 50; // its connection may carry the next
+        double rested = node.clock().now() + 50; // its connection may carry the next
         registry.news.add(list(8, false, entry("h0", host.address(), "draining")));
         awaitWatches(2);
         Client c = client(node).send(view("v", TIME));
         awaitCurrent(node, 1);
         awaitClock(node, rested);
-        node.loop
+        node.loop()
                 .submit(() -> {
                     c.close();
                     node.dispatcher().send("v", "h0", 0);
@@ -245,7 +245,7 @@
         assertEquals(200, c.receive().status());
         CountDownLatch left = holdLoop(node);
         c.send(view("v", TIME)).close();
-        awaitClock(node, node.clock.now() + 200);
+        awaitClock(node, node.clock().now() + 200);
         left.countDown();
         assertAskedOnlyThese(host, other);
     }
@@ -260,7 +260,7 @@
         Client c = client(node).send(bad + bad);
         assertEquals(400, c.receive().status());
         assertEquals(400, c.receive().status());
-        double over = node.clock.now() + 500;
+        double over = node.clock().now() + 500;
         CountDownLatch left = holdLoop(node);
         c.send(views(250_000)).close();
         left.countDown();
@@ -275,7 +275,7 @@
         GatewayServer node = nodeBefore(host);
         Client other = client(node);
         assertEquals("for u ", other.send(view("u", TIME)).receive().text());
-        double rested = node.clock.now() + 50;
+        double rested = node.clock().now() + 50;
         awaitClock(node, rested);
         CountDownLatch left = holdLoop(node);
         client(node).send(Sockets.order("o", "x".repeat(100_000))).close();
--- a/src/test/java/caperrudder/server/SocketTest.java
+++ b/src/test/java/caperrudder/server/SocketTest.java
@@ -105,7 +105,7 @@
     static CountDownLatch holdLoop(GatewayServer node) throws InterruptedException {
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch released = new CountDownLatch(1);
-        node.loop.execute(() -> {
+        node.loop().execute(() -> {
             busy.countDown();
             try {
                 released.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -118,7 +118,7 @@
     }
 
     static void awaitClock(GatewayServer node, double ms) {
-        while (node.clock.now() < ms) {
+        while (node.clock().now() < ms) {
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/caperrudder/server/StreamingTest.java
+++ b/src/test/java/caperrudder/server/StreamingTest.java
@@ -191,7 +191,7 @@
         assertEquals(1, host.asked.size());
         assertEquals(
                 1,
-                node.loop
+                node.loop()
                         .submit(() -> node.counters().classes().get(0).errored())
                         .get());
     }
--- a/src/test/java/caperrudder/server/admin/AdminServerTest.java
+++ b/src/test/java/caperrudder/server/admin/AdminServerTest.java
@@ -82,7 +82,7 @@
         assertEquals(503, call(admin, "GET /api/ready").status());
         node.start();
         assertEquals(200, call(admin, "GET /api/ready").status());
-        node.loop.submit(node::stopAccepting).sync();
+        node.loop().submit(node::stopAccepting).sync();
         assertEquals(503, call(admin, "GET /api/ready").status());
     }
 
@@ -149,7 +149,7 @@
         GatewayServer node = nodeBefore();
         AdminServer admin = admin(node);
         CountDownLatch released = new CountDownLatch(1);
-        node.loop.execute(() -> {
+        node.loop().execute(() -> {
             try {
                 released.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
--- a/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
@@ -380,7 +380,7 @@
         GatewayServer node = nodeWith();
         awaitWatches(1);
         node.reload(configured(registry.server));
-        node.loop.submit(() -> {}).sync(); // it has been taken in
+        node.loop().submit(() -> {}).sync(); // it has been taken in
         registry.news.add(list(2, false, entry("h0", host.address(), "ready")));
         awaitWatches(2);
         assertEquals(
