--- a/src/main/java/caperrudder/policy/gossip/OwnerRequest.java
+++ b/src/main/java/caperrudder/policy/gossip/OwnerRequest.java
@@ -15,6 +15,7 @@
     private int messageSerial; // of the message that asks
     private double replyDueAt;
 
+    /** @param applicant is notified of the decision */
     public OwnerRequest(CustomerQuota quota, QuotaApplicant applicant) {
         this.quota = quota;
         this.applicant = applicant;
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -26,6 +26,7 @@
     private final ReplyHandler replies;
     private final GossipOutbox outbox;
 
+    /** @param now time of this gateway's start, which names its incarnation in messages */
     public QuotaGossip(
             double now, Settings settings, QuotaTable quotas, QuotaOwnership ownership, PolicyActions actions) {
         this.planCount = settings.plans().size();
--- a/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
@@ -20,6 +20,7 @@
     private final PeerTable peers;
     private final double startedAt;
 
+    /** @param now time of this gateway's start: its incarnation */
     public QuotaOwnership(double now, Settings settings) {
         this.peers = new PeerTable(settings);
         this.startedAt = now;
--- a/src/main/java/caperrudder/policy/quota/CeilingBucket.java
+++ b/src/main/java/caperrudder/policy/quota/CeilingBucket.java
@@ -3,7 +3,7 @@
 import caperrudder.api.Plan;
 
 /**
- * This gateway's share of a plan's ceiling, the hard limit that no replica set may pass (DESIGN, PROTOCOL rule 5).
+ * This gateway's share of a plan's ceiling, the hard limit that no replica set may pass (BENCH, fifth rule).
  * Shares sum to one over the replica set, and each is spent by its holder alone; owners may hand units on.
  *
  * <p>Not thread-safe.
@@ -46,7 +46,7 @@
         return !isLimited() || level >= units;
     }
 
-    /** Units not sent yet are still in the bucket that the hosts see, and it may not overfill (rule 5). */
+    /** Units not sent yet are still in the bucket that the hosts see, and it may not overfill (BENCH, fifth rule). */
     void refill(double seconds) {
         level = Math.min(capacity() - unsentUnits, level + plan.ceilingUnitsPerSecond() * share * seconds);
     }
--- a/src/main/java/caperrudder/policy/quota/QuotaTable.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaTable.java
@@ -37,6 +37,7 @@
     private final DemandShares shares;
     private final double startedAt;
 
+    /** @param now time of this gateway's start; ceilings fill from then on */
     public QuotaTable(double now, Settings settings, OwnerLocator owners) {
         this.startedAt = now;
         this.settings = settings;
--- a/src/main/java/caperrudder/policy/quota/UsageSource.java
+++ b/src/main/java/caperrudder/policy/quota/UsageSource.java
@@ -11,6 +11,7 @@
     /** Not at all. */
     NONE;
 
+    /** As the settings allow it: messages are preferred to the meter. */
     public static UsageSource of(Settings settings) {
         if (settings.limits().peerMessages()) return PEERS;
         return settings.sharing().meterPeriodMs() > 0 ? METER : NONE;
