--- a/src/main/java/caperrudder/policy/Attempt.java
+++ b/src/main/java/caperrudder/policy/Attempt.java
@@ -1,6 +1,7 @@
 package caperrudder.policy;
 
 import caperrudder.api.Outcome;
+import caperrudder.policy.loadbalancing.Endpoint;
 
 /**
  * One attempt of a request at an endpoint. It is open until its end is reported. It works, and takes a slot, from when
--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -2,6 +2,9 @@
 
 import caperrudder.api.Host;
 import caperrudder.api.PolicyActions;
+import caperrudder.policy.loadbalancing.Endpoint;
+import caperrudder.policy.loadbalancing.LoadBalancer;
+import caperrudder.policy.loadbalancing.PlacementRequest;
 import caperrudder.policy.scheduling.Dispatcher;
 
 /**
--- a/src/main/java/caperrudder/policy/AttemptFeedback.java
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -2,6 +2,7 @@
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.Outcome;
+import caperrudder.policy.loadbalancing.LoadBalancer;
 import caperrudder.policy.quota.AdmissionControl;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
 import caperrudder.policy.scheduling.OverdueShare;
--- a/src/main/java/caperrudder/policy/AttemptLifecycle.java
+++ b/src/main/java/caperrudder/policy/AttemptLifecycle.java
@@ -3,6 +3,7 @@
 import caperrudder.api.AttemptResult;
 import caperrudder.api.Outcome;
 import caperrudder.api.PolicyActions;
+import caperrudder.policy.loadbalancing.LoadBalancer;
 
 /**
  * The way of each attempt once it has been sent: its request complete, its response begun, overdue, ended; and what
--- a/src/main/java/caperrudder/policy/OutstandingAttempts.java
+++ b/src/main/java/caperrudder/policy/OutstandingAttempts.java
@@ -1,5 +1,7 @@
 package caperrudder.policy;
 
+import caperrudder.policy.loadbalancing.Endpoint;
+import caperrudder.policy.loadbalancing.LoadBalancer;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -2,6 +2,7 @@
 
 import caperrudder.api.Request;
 import caperrudder.policy.gossip.OwnerRequest;
+import caperrudder.policy.loadbalancing.Endpoint;
 import caperrudder.policy.quota.CustomerQuota;
 import caperrudder.policy.quota.QuotaRequest;
 import caperrudder.policy.scheduling.Schedulable;
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -3,6 +3,8 @@
 import caperrudder.api.Limits;
 import caperrudder.api.PolicyActions;
 import caperrudder.policy.gossip.QuotaGossip;
+import caperrudder.policy.loadbalancing.Endpoint;
+import caperrudder.policy.loadbalancing.LoadBalancer;
 import caperrudder.policy.quota.CustomerQuota;
 import caperrudder.policy.quota.QuotaTable;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -12,6 +12,8 @@
 import caperrudder.api.Snapshot;
 import caperrudder.policy.gossip.QuotaGossip;
 import caperrudder.policy.gossip.QuotaOwnership;
+import caperrudder.policy.loadbalancing.Endpoint;
+import caperrudder.policy.loadbalancing.LoadBalancer;
 import caperrudder.policy.quota.AdmissionControl;
 import caperrudder.policy.quota.QuotaTable;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
--- a/src/main/java/caperrudder/policy/EndpointOrder.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointOrder.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.loadbalancing;
 
 /** The order in which a gateway keeps its endpoints: by a hash of their ids, and by the ids where hashes are equal. */
 final class EndpointOrder {
--- a/src/main/java/caperrudder/policy/EndpointTable.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.loadbalancing;
 
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
--- a/src/main/java/caperrudder/policy/OutlierDetector.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.loadbalancing;
 
 import caperrudder.api.AttemptResult;
 import caperrudder.api.HealthSnapshot;
--- a/src/test/java/caperrudder/policy/FakeGateway.java
+++ b/src/test/java/caperrudder/policy/FakeGateway.java
@@ -15,6 +15,7 @@
 import caperrudder.api.Rules;
 import caperrudder.api.Settings;
 import caperrudder.api.Sharing;
+import caperrudder.policy.loadbalancing.LoadBalancer;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -24,7 +25,7 @@
 import java.util.PriorityQueue;
 
 /** A clock and a notebook: plays events into one Brain and keeps what it does. */
-final class FakeGateway implements PolicyActions {
+public final class FakeGateway implements PolicyActions {
     static final RequestClass READ =
             new RequestClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1000, 3000, 1, 0, false);
     static final RequestClass PAY =
@@ -58,16 +59,16 @@
     private int order;
     double now;
 
-    FakeGateway(double now, Settings settings) {
+    public FakeGateway(double now, Settings settings) {
         this.now = now;
         brain.start(now, settings);
     }
 
-    static Settings settings(int me, int gateways) {
+    public static Settings settings(int me, int gateways) {
         return settings(me, gateways, 7);
     }
 
-    static Settings settings(int me, int gateways, long seed) {
+    public static Settings settings(int me, int gateways, long seed) {
         return new Settings(
                 seed,
                 me,
@@ -99,15 +100,15 @@
                 new Sharing(false, 0, 1000, false, 4, 0, 0, 0, 0));
     }
 
-    LoadBalancer loadBalancer() {
+    public LoadBalancer loadBalancer() {
         return brain.loadBalancer();
     }
 
-    static FakeGateway alone() {
+    public static FakeGateway alone() {
         return new FakeGateway(1000, settings(0, 1));
     }
 
-    static Host host(String id, String zone) {
+    public static Host host(String id, String zone) {
         return new Host(id, zone, "std", 0, HostState.RUNNING, 1, 0);
     }
 
@@ -124,11 +125,11 @@
         brain.requestReceived(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
     }
 
-    void ask(String id, String cls) {
+    public void ask(String id, String cls) {
         ask(id, cls, "free", 1, 1, 1);
     }
 
-    void end(String id, int attempt, Outcome outcome, double latency) {
+    public void end(String id, int attempt, Outcome outcome, double latency) {
         end(id, attempt, outcome, latency, 0);
     }
 
@@ -139,11 +140,11 @@
                         id, attempt, hostOf(id), outcome, latency, outcome == Outcome.OK, usedPct, 0, report));
     }
 
-    String hostOf(String id) {
+    public String hostOf(String id) {
         return Objects.requireNonNull(lastHost.get(id));
     }
 
-    long sends(String id) {
+    public long sends(String id) {
         return sent.stream().filter(s -> s.id().equals(id)).count();
     }
 
@@ -161,7 +162,15 @@
         now = end;
     }
 
-    void pass(double ms) {
+    public void hostsUpdated(HostListKind kind, List<Host> hosts) {
+        brain.hostsUpdated(now, kind, hosts);
+    }
+
+    public double now() {
+        return now;
+    }
+
+    public void pass(double ms) {
         runTo(now + ms);
     }
 
--- a/src/test/java/caperrudder/policy/EndpointCostsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointCostsTest.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -6,6 +6,7 @@
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
 import caperrudder.api.Outcome;
+import caperrudder.policy.FakeGateway;
 import java.lang.management.ManagementFactory;
 import java.util.List;
 import java.util.Random;
@@ -34,7 +35,7 @@
                 .mapToObj(i -> host(i, HostState.RUNNING))
                 .toList();
         long before = allocated();
-        g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
+        g.hostsUpdated(HostListKind.FULL, hosts);
         double perHost = (allocated() - before) / (double) HOSTS;
         assertTrue(perHost < 200, perHost + " bytes for a host of a whole list");
 
@@ -42,8 +43,8 @@
         before = allocated();
         for (int i = 0; i < CHANGES / 2; i++) {
             int number = random.nextInt(HOSTS);
-            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(host(number, HostState.GONE)));
-            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(host(number, HostState.RUNNING)));
+            g.hostsUpdated(HostListKind.CHANGES, List.of(host(number, HostState.GONE)));
+            g.hostsUpdated(HostListKind.CHANGES, List.of(host(number, HostState.RUNNING)));
         }
         long perChange = (allocated() - before) / CHANGES;
         assertTrue(perChange < 20_000, perChange + " bytes for a change");
--- a/src/test/java/caperrudder/policy/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,6 +14,7 @@
 import caperrudder.api.Outcome;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
+import caperrudder.policy.FakeGateway;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -134,12 +135,12 @@
             List<Host> told = new ArrayList<>();
             for (int i = whole ? 0 : random.nextInt(4); i < (whole ? numbers : 3); i++) {
                 HostState state = HostState.values()[Math.max(0, random.nextInt(whole ? 12 : 5) - (whole ? 9 : 2))];
-                double started = random.nextInt(3) == 0 ? g.now - random.nextInt(15_000) : 0;
+                double started = random.nextInt(3) == 0 ? g.now() - random.nextInt(15_000) : 0;
                 told.add(host(random.nextInt(numbers), state, started, "z" + random.nextInt(3), random.nextInt(5)));
             }
             HostListKind kind =
                     whole ? random.nextBoolean() ? HostListKind.FULL : HostListKind.CACHED : HostListKind.CHANGES;
-            g.brain.hostsUpdated(g.now, kind, told);
+            g.hostsUpdated(kind, told);
             walked.told(kind, told);
             compare(walked, g, me, n);
             for (int i = 0; i < 6; i++) {
@@ -150,19 +151,19 @@
                 g.end(id, 0, outcome, 5);
             }
             g.pass(500 + random.nextInt(100) * 10); // beyond a beat at which hosts are counted
-            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of());
+            g.hostsUpdated(HostListKind.CHANGES, List.of());
             compare(walked, g, me, n);
         }
     }
 
     private static void compare(WalkedHosts walked, FakeGateway g, int me, int n) {
-        walked.survey(g.now, g, me, n);
+        walked.survey(g.now(), g, me, n);
         assertEquals(walked.usable, open(g));
         assertEquals(walked.homes, ids(g.loadBalancer().subset()));
         assertEquals(walked.capacity, g.loadBalancer().capacity(), 1e-9);
         assertEquals(
                 walked.all.values().stream().filter(WalkedHosts.Known::listed).count(),
-                g.brain.clusterHealth(g.now).size());
+                g.loadBalancer().clusterHealth(g.now()).size());
     }
 
     /** So many gateways, each told the same hosts. */
@@ -170,7 +171,7 @@
         List<FakeGateway> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(i, gateways, i));
-            g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
+            g.hostsUpdated(HostListKind.FULL, hosts);
             fleet.add(g);
         }
         return fleet;
@@ -190,7 +191,7 @@
         Moves all = new Moves(0, 0, 0, 0);
         for (FakeGateway g : fleet) {
             Set<String> before = new HashSet<>(ids(g.loadBalancer().subset()));
-            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(h));
+            g.hostsUpdated(HostListKind.CHANGES, List.of(h));
             Set<String> after = new HashSet<>(ids(g.loadBalancer().subset()));
             int gained = (int) after.stream().filter(id -> !before.contains(id)).count();
             int lost = (int) before.stream().filter(id -> !after.contains(id)).count();
@@ -246,17 +247,17 @@
         FakeGateway g = FakeGateway.alone();
         Host a = host("a", "z1", 1);
         Host gone = new Host("a", "z1", "std", 1, HostState.GONE, 1, 0);
-        g.brain.hostsUpdated(g.now, HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
+        g.hostsUpdated(HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
         assertEquals(List.of("b"), open(g));
-        assertEquals(1, g.brain.clusterHealth(g.now).size());
+        assertEquals(1, g.loadBalancer().clusterHealth(g.now()).size());
         EndpointTable table = g.loadBalancer().table();
         assertEquals(0, table.usableSharing(DeduplicationScope.ZONE, a).size());
         assertEquals(
                 1,
                 table.usableSharing(DeduplicationScope.CELL, host("c", "z2", 2)).size());
-        g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(gone, a));
+        g.hostsUpdated(HostListKind.CHANGES, List.of(gone, a));
         assertEquals(List.of("a", "b"), open(g));
-        g.brain.hostsUpdated(g.now, HostListKind.FULL, List.of(a));
+        g.hostsUpdated(HostListKind.FULL, List.of(a));
         assertEquals(List.of("a"), open(g));
         g.pass(6000);
         assertNull(table.find("b"));
@@ -284,11 +285,10 @@
         List<Host> hosts = IntStream.range(0, 20_000)
                 .mapToObj(i -> host("h" + i, "far", 1))
                 .toList();
-        g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
+        g.hostsUpdated(HostListKind.FULL, hosts);
         g.ask("r", "order");
         String first = g.hostOf("r");
-        g.brain.hostsUpdated(
-                g.now, HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
+        g.hostsUpdated(HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
         Set<String> homes = Set.copyOf(ids(g.loadBalancer().subset()));
         String other = hosts.stream()
                 .map(Host::id)
@@ -297,7 +297,7 @@
                 .orElseThrow();
         g.end("r", 0, Outcome.ERROR, 5);
         assertEquals(1, g.sends("r")); // none may have the repeat
-        g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(host(other, zone, 9)));
+        g.hostsUpdated(HostListKind.CHANGES, List.of(host(other, zone, 9)));
         assertFalse(ids(g.loadBalancer().subset()).contains(other));
         assertEquals(2, g.sends("r"));
         assertEquals(other, g.hostOf("r"));
@@ -316,18 +316,17 @@
     /** A gateway among the 4,200 to come. */
     private static FakeGateway oneOfMany(List<Host> hosts) {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(17, 4200, 5));
-        g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
+        g.hostsUpdated(HostListKind.FULL, hosts);
         return g;
     }
 
     @Test
     void whereAllHomesAreColdARequestComparesAThousandOtherHostsAtMost() {
         FakeGateway g = oneOfMany(hosts(20_000));
-        g.brain.hostsUpdated(
-                g.now,
+        g.hostsUpdated(
                 HostListKind.CHANGES,
                 g.loadBalancer().subset().stream()
-                        .map(s -> new Host(s.host().id(), "z1", "std", 0, HostState.RUNNING, 1, g.now))
+                        .map(s -> new Host(s.host().id(), "z1", "std", 0, HostState.RUNNING, 1, g.now()))
                         .toList());
         List<Double> touched = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -349,12 +348,10 @@
         long before = g.loadBalancer().table().visited();
         for (int i = 0; i < changes / 2; i++) {
             int number = random.nextInt(count);
-            g.brain.hostsUpdated(
-                    g.now,
+            g.hostsUpdated(
                     HostListKind.CHANGES,
                     List.of(new Host("h" + number, "z" + number % 4, "std", 0, HostState.GONE, 1, 0)));
-            g.brain.hostsUpdated(
-                    g.now, HostListKind.CHANGES, List.of(FakeGateway.host("h" + number, "z" + number % 4)));
+            g.hostsUpdated(HostListKind.CHANGES, List.of(FakeGateway.host("h" + number, "z" + number % 4)));
         }
         return (g.loadBalancer().table().visited() - before) / (double) changes;
     }
--- a/src/test/java/caperrudder/policy/RankedEndpointsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
@@ -1,9 +1,10 @@
-package caperrudder.policy;
+package caperrudder.policy.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 
+import caperrudder.policy.FakeGateway;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
