--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -183,6 +183,7 @@
                     loop.submit(this::startListener).sync().getNow();
             if (bound.isPresent()) {
                 bound.get().sync();
+                loop.submit(() -> {}).sync(); // the bind's own listener, by which isReady turns, has run by then
             }
             return bound.isPresent();
         } catch (InterruptedException e) {
