--- a/src/test/java/caperrudder/policy/GoldenFiles.java
+++ b/src/test/java/caperrudder/policy/GoldenFiles.java
@@ -24,7 +24,7 @@
     }
 
     /** The lines "name hex" of a golden file, in order; lines that begin with # are comments. */
-    static Map<String, String> hexByName(String name) {
+    public static Map<String, String> hexByName(String name) {
         Map<String, String> all = new LinkedHashMap<>();
         new String(bytes(name), StandardCharsets.US_ASCII)
                 .lines()
--- a/src/test/java/caperrudder/policy/PeerMessageGoldenTest.java
+++ b/src/test/java/caperrudder/policy/gossip/QuotaMessageGoldenTest.java
@@ -1,4 +1,4 @@
-package caperrudder.policy;
+package caperrudder.policy.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,11 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.policy.gossip.OwnerReply;
-import caperrudder.policy.gossip.QuotaEntry;
-import caperrudder.policy.gossip.QuotaMessage;
-import caperrudder.policy.gossip.QuotaMessageCodec;
-import caperrudder.policy.gossip.ReplicaReport;
+import caperrudder.policy.GoldenFiles;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.HexFormat;
@@ -30,58 +26,64 @@
  * Pins the bytes of the messages between gateways. Gateways of two versions talk to each other during an upgrade, so
  * each golden message has to be decoded to the same fields and encoded to the same bytes by every version.
  */
-class PeerMessageGoldenTest {
+class QuotaMessageGoldenTest {
     private static final String FILE = "peer-messages.txt";
     private static final byte VERSION = 3;
     private static final int CHECKSUM_AT = 1; // two bytes
     private static final int CHECKED_FROM = 3;
-    private static final int COUNT_AT = 15; // of the entries, the last byte of the head
-    private static final int HEAD_BYTES = 16;
+    private static final int COUNT_AT = 15; // of the entries, the last byte of the header
+    private static final int HEADER_BYTES = 16;
     private static final String UNDEFINED_FLAGS = "largest-values"; // has flags that its kinds of entry don't define
-    private static final int REPORT_FLAGS_AT = HEAD_BYTES;
+    private static final int REPORT_FLAGS_AT = HEADER_BYTES;
     private static final int REPLY_FLAGS_AT = REPORT_FLAGS_AT + 23;
     private static final int REPORT_FLAGS = 0b10110; // wants a reply, ceiling units; tells the fullness
     private static final int REPLY_FLAGS = 0b01101; // is a reply, with ceiling units, uncertain
 
-    private static final QuotaEntry REPLICA_ASKS =
+    private static final QuotaEntry REPLICA_REQUESTS =
             new ReplicaReport(5, 0, 1, 2, 1.5, 4, 2.25, 1, OptionalDouble.empty(), true, false);
-    private static final QuotaEntry REPLICA_ASKS_WITH_VIEW =
+    private static final QuotaEntry REPLICA_REQUESTS_WITH_VIEW =
             new ReplicaReport(0xAB_1234_5678L, 3, 7, 300, 1000.0625, 0.25, 40, 2, OptionalDouble.of(0.5), true, false);
-    private static final QuotaEntry REPLICA_ASKS_FOR_CEILING =
+    private static final QuotaEntry REPLICA_REQUESTS_FOR_CEILING =
             new ReplicaReport(4711, 1, 0, 5, 77.75, 12.5, 3.1875, 0, OptionalDouble.of(-0.25), true, true);
     private static final QuotaEntry REPLICA_REPORTS =
             new ReplicaReport(6, 2, 0, 2, 8, 0, 1, 3, OptionalDouble.empty(), false, false);
-    private static final QuotaEntry OWNER_ANSWERS =
+    private static final QuotaEntry OWNER_REPLIES =
             new OwnerReply(5, 0, 5.5, 4, 0.5, 6, 0.75, false, OptionalDouble.empty());
-    private static final QuotaEntry OWNER_ANSWERS_WITH_CEILING =
+    private static final QuotaEntry OWNER_REPLIES_WITH_CEILING =
             new OwnerReply(4711, 1, 90.25, 12.5, 9, 2, -1, false, OptionalDouble.of(20.0625));
-    private static final QuotaEntry OWNER_IS_UNSURE =
+    private static final QuotaEntry OWNER_IS_UNCERTAIN =
             new OwnerReply(0xFF_0000_0001L, 2, 0, 0, 0, 0, 1, true, OptionalDouble.empty());
-    private static final QuotaEntry OWNER_IS_UNSURE_OF_CEILING =
+    private static final QuotaEntry OWNER_IS_UNCERTAIN_OF_CEILING =
             new OwnerReply(9, 4, 2, 1, 0.0625, 1, 0, true, OptionalDouble.of(3));
 
     /** By name, what each golden message says. */
     private static final Map<String, QuotaMessage> MESSAGES = messages();
 
-    /** By name, what was encoded where a field could not hold a value: it is held at its limit or runs over. */
+    /** By name, what was encoded where a field could not hold a value: it is held at its limit or wraps around. */
     private static final Map<String, QuotaMessage> BEYOND_THE_FIELDS = beyondTheFields();
 
     private static Map<String, QuotaMessage> messages() {
         Map<String, QuotaMessage> all = new LinkedHashMap<>();
         all.put("empty", new QuotaMessage(1, 0, 1, 0, List.of()));
-        all.put("replica-asks", new QuotaMessage(1_700_000_000, 1_600_000_000, 2, 1, List.of(REPLICA_ASKS)));
-        all.put("replica-asks-with-view", new QuotaMessage(-2, 17, 300, 299, List.of(REPLICA_ASKS_WITH_VIEW)));
-        all.put("replica-asks-for-ceiling", new QuotaMessage(100, 200, 3, 4, List.of(REPLICA_ASKS_FOR_CEILING)));
+        all.put("replica-asks", new QuotaMessage(1_700_000_000, 1_600_000_000, 2, 1, List.of(REPLICA_REQUESTS)));
+        all.put("replica-asks-with-view", new QuotaMessage(-2, 17, 300, 299, List.of(REPLICA_REQUESTS_WITH_VIEW)));
+        all.put("replica-asks-for-ceiling", new QuotaMessage(100, 200, 3, 4, List.of(REPLICA_REQUESTS_FOR_CEILING)));
         all.put("replica-reports", new QuotaMessage(100, 200, 4, 4, List.of(REPLICA_REPORTS)));
-        all.put("owner-answers", new QuotaMessage(200, 100, 5, 3, List.of(OWNER_ANSWERS)));
-        all.put("owner-answers-with-ceiling", new QuotaMessage(200, 100, 6, 3, List.of(OWNER_ANSWERS_WITH_CEILING)));
-        all.put("owner-is-unsure", new QuotaMessage(200, 0, 1, 3, List.of(OWNER_IS_UNSURE)));
-        all.put("owner-is-unsure-of-ceiling", new QuotaMessage(200, 0, 2, 3, List.of(OWNER_IS_UNSURE_OF_CEILING)));
+        all.put("owner-answers", new QuotaMessage(200, 100, 5, 3, List.of(OWNER_REPLIES)));
+        all.put("owner-answers-with-ceiling", new QuotaMessage(200, 100, 6, 3, List.of(OWNER_REPLIES_WITH_CEILING)));
+        all.put("owner-is-unsure", new QuotaMessage(200, 0, 1, 3, List.of(OWNER_IS_UNCERTAIN)));
+        all.put("owner-is-unsure-of-ceiling", new QuotaMessage(200, 0, 2, 3, List.of(OWNER_IS_UNCERTAIN_OF_CEILING)));
         all.put(
                 "several-entries",
                 new QuotaMessage(
-                        300, 400, 7, 8, List.of(OWNER_ANSWERS_WITH_CEILING, REPLICA_ASKS_WITH_VIEW, OWNER_IS_UNSURE)));
-        all.put("eight-entries", new QuotaMessage(300, 400, 8, 8, Collections.nCopies(8, REPLICA_ASKS_FOR_CEILING)));
+                        300,
+                        400,
+                        7,
+                        8,
+                        List.of(OWNER_REPLIES_WITH_CEILING, REPLICA_REQUESTS_WITH_VIEW, OWNER_IS_UNCERTAIN)));
+        all.put(
+                "eight-entries",
+                new QuotaMessage(300, 400, 8, 8, Collections.nCopies(8, REPLICA_REQUESTS_FOR_CEILING)));
         all.put(
                 "largest-values",
                 new QuotaMessage(
@@ -205,7 +207,7 @@
                                         Integer.MIN_VALUE,
                                         -12,
                                         false,
-                                        OptionalDouble.of(134217728))))); // runs over
+                                        OptionalDouble.of(134217728))))); // wraps around
         all.put(
                 "rounded-values",
                 new QuotaMessage(
@@ -265,7 +267,7 @@
 
     @ParameterizedTest
     @MethodSource("names")
-    void aGoldenMessageIsDecodedToItsFieldsAndEncodedToItsBytes(String name) {
+    void goldenMessageIsDecodedToItsFieldsAndEncodedToItsBytes(String name) {
         byte[] golden = golden(name);
         assertEquals(Optional.of(MESSAGES.get(name)), QuotaMessageCodec.decode(golden));
         assertArrayEquals(withDefinedFlags(name), QuotaMessageCodec.encode(MESSAGES.get(name)));
@@ -282,12 +284,12 @@
 
     @ParameterizedTest
     @MethodSource("names")
-    void aTornOrLongerMessageIsRejected(String name) {
+    void truncatedOrLongerMessageIsRejected(String name) {
         byte[] golden = golden(name);
         for (int length = 0; length < golden.length; length++) {
             byte[] torn = Arrays.copyOf(golden, length);
             assertEquals(Optional.empty(), QuotaMessageCodec.decode(torn), "first " + length + " bytes");
-            if (length >= HEAD_BYTES)
+            if (length >= HEADER_BYTES)
                 assertEquals(
                         Optional.empty(), QuotaMessageCodec.decode(sealed(torn)), "first " + length + " bytes, sealed");
         }
@@ -298,7 +300,7 @@
 
     @ParameterizedTest
     @MethodSource("names")
-    void aMessageWithOneDamagedBitIsRejected(String name) {
+    void messageWithOneDamagedBitIsRejected(String name) {
         byte[] golden = golden(name);
         for (int bit = 0; bit < golden.length * Byte.SIZE; bit++) {
             byte[] damaged = golden.clone();
@@ -315,7 +317,7 @@
     }
 
     @Test
-    void aMessageOfAnotherVersionIsRejected() {
+    void messageOfAnotherVersionIsRejected() {
         for (int version = Byte.MIN_VALUE; version <= Byte.MAX_VALUE; version++) {
             byte[] other = golden("several-entries");
             other[0] = (byte) version;
@@ -326,7 +328,7 @@
     }
 
     @Test
-    void aMessageWithAnotherCountOfEntriesIsRejected() {
+    void messageWithAnotherCountOfEntriesIsRejected() {
         for (int count = 0; count <= 0xff; count++) {
             byte[] other = golden("several-entries");
             other[COUNT_AT] = (byte) count;
