--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointCostsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointCostsTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void neitherChangesNorIdleSecondsNorRequestsCopyTheHosts() {
+    void changesIdleSecondsAndRequestsDoNotCopyTheEndpoints() {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(17, 4200, 5));
         List<Host> hosts = IntStream.range(0, HOSTS)
                 .mapToObj(i -> host(i, HostState.RUNNING))
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -52,35 +52,35 @@
         return hosts.stream().map(s -> s.host().id()).toList();
     }
 
-    private static List<String> open(FakeGateway g) {
+    private static List<String> usable(FakeGateway g) {
         return ids(RankedEndpoints.copyCircular(
                 g.loadBalancer().table().usable(), 0, g.loadBalancer().table().usableCount()));
     }
 
     /** What every gateway once did at each change: walk, copy and sort all hosts. */
-    private static final class WalkedHosts {
-        private record Known(Host info, boolean listed, double coldAt) {}
+    private static final class ScannedHosts {
+        private record Known(Host info, boolean listed, double startedAtMs) {}
 
         private final Map<String, Known> all = new LinkedHashMap<>();
         private List<String> usable = List.of();
-        private final List<String> homes = new ArrayList<>();
+        private final List<String> subset = new ArrayList<>();
         private double capacity;
 
-        void told(HostListKind kind, List<Host> hosts) {
-            if (kind != HostListKind.CHANGES) all.replaceAll((id, k) -> new Known(k.info(), false, k.coldAt()));
+        void listed(HostListKind kind, List<Host> hosts) {
+            if (kind != HostListKind.CHANGES) all.replaceAll((id, k) -> new Known(k.info(), false, k.startedAtMs()));
             for (Host h : hosts) {
                 Known k = all.get(h.id());
-                double coldAt = k == null ? Double.NEGATIVE_INFINITY : k.coldAt();
+                double startedAtMs = k == null ? Double.NEGATIVE_INFINITY : k.startedAtMs();
                 all.put(
                         h.id(),
                         new Known(
                                 h,
                                 h.state() != HostState.GONE,
-                                h.startedMs() > 0 ? Math.max(coldAt, h.startedMs()) : coldAt));
+                                h.startedMs() > 0 ? Math.max(startedAtMs, h.startedMs()) : startedAtMs));
             }
         }
 
-        void survey(double now, FakeGateway g, int me, int gateways) {
+        void refresh(double now, FakeGateway g, int me, int gateways) {
             all.values()
                     .removeIf(k -> !k.listed()
                             && g.loadBalancer().table().find(k.info().id()) == null); // forgotten
@@ -92,12 +92,14 @@
             usable = open.stream().map(k -> k.info().id()).toList();
             capacity = open.stream()
                     .mapToDouble(k ->
-                            penalty(now, g.loadBalancer().table().find(k.info().id())) < 4 ? ramp(now, k.coldAt()) : 0)
+                            penalty(now, g.loadBalancer().table().find(k.info().id())) < 4
+                                    ? capacityShare(now, k.startedAtMs())
+                                    : 0)
                     .sum();
-            homes.clear();
+            subset.clear();
             int kept = Math.max(8, 6 * usable.size() / gateways);
             for (int i = 0; i < Math.min(kept, usable.size()); i++) {
-                homes.add(usable.get((int) (((long) me * kept + i) % usable.size())));
+                subset.add(usable.get((int) (((long) me * kept + i) % usable.size())));
             }
         }
 
@@ -111,38 +113,38 @@
             return 1;
         }
 
-        private static double ramp(double now, double coldAt) {
-            double done = (now - coldAt) / 10_000;
+        private static double capacityShare(double now, double startedAtMs) {
+            double done = (now - startedAtMs) / 10_000;
             return done >= 1 ? 1 : Math.max(0.01, 0.2 + 0.8 * Math.max(0, done));
         }
     }
 
     @Test
-    void ofUpToAHundredGatewaysEachKeepsToTheHostsThatAWalkOverAllFinds() {
+    void ofUpToAHundredGatewaysEachUsesTheSubsetThatAScanOfAllHostsFinds() {
         int[] gateways = {1, 2, 3, 14, 20, 95, 100};
         for (int round = 0; round < 21; round++) {
             int n = gateways[round % gateways.length];
-            play(new Random(round), round * 31 % n, n, round % 3 == 0 ? 12 : round % 3 == 1 ? 90 : HOSTS);
+            playRandomChanges(new Random(round), round * 31 % n, n, round % 3 == 0 ? 12 : round % 3 == 1 ? 90 : HOSTS);
         }
     }
 
     @SuppressWarnings("EnumOrdinal") // drawn, never stored
-    private void play(Random random, int me, int n, int numbers) {
+    private void playRandomChanges(Random random, int me, int n, int numbers) {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(me, n, 5));
-        WalkedHosts walked = new WalkedHosts();
+        ScannedHosts scanned = new ScannedHosts();
         for (int step = 0; step < 200; step++) {
             boolean whole = step == 0 || random.nextInt(40) == 0;
-            List<Host> told = new ArrayList<>();
+            List<Host> listed = new ArrayList<>();
             for (int i = whole ? 0 : random.nextInt(4); i < (whole ? numbers : 3); i++) {
                 HostState state = HostState.values()[Math.max(0, random.nextInt(whole ? 12 : 5) - (whole ? 9 : 2))];
                 double started = random.nextInt(3) == 0 ? g.now() - random.nextInt(15_000) : 0;
-                told.add(host(random.nextInt(numbers), state, started, "z" + random.nextInt(3), random.nextInt(5)));
+                listed.add(host(random.nextInt(numbers), state, started, "z" + random.nextInt(3), random.nextInt(5)));
             }
             HostListKind kind =
                     whole ? random.nextBoolean() ? HostListKind.FULL : HostListKind.CACHED : HostListKind.CHANGES;
-            g.hostsUpdated(kind, told);
-            walked.told(kind, told);
-            compare(walked, g, me, n);
+            g.hostsUpdated(kind, listed);
+            scanned.listed(kind, listed);
+            assertSameAsScan(scanned, g, me, n);
             for (int i = 0; i < 6; i++) {
                 String id = "r" + step + "-" + i;
                 g.ask(id, "pay");
@@ -152,21 +154,21 @@
             }
             g.pass(500 + random.nextInt(100) * 10); // beyond a beat at which hosts are counted
             g.hostsUpdated(HostListKind.CHANGES, List.of());
-            compare(walked, g, me, n);
+            assertSameAsScan(scanned, g, me, n);
         }
     }
 
-    private static void compare(WalkedHosts walked, FakeGateway g, int me, int n) {
-        walked.survey(g.now(), g, me, n);
-        assertEquals(walked.usable, open(g));
-        assertEquals(walked.homes, ids(g.loadBalancer().subset()));
-        assertEquals(walked.capacity, g.loadBalancer().capacity(), 1e-9);
+    private static void assertSameAsScan(ScannedHosts scanned, FakeGateway g, int me, int n) {
+        scanned.refresh(g.now(), g, me, n);
+        assertEquals(scanned.usable, usable(g));
+        assertEquals(scanned.subset, ids(g.loadBalancer().subset()));
+        assertEquals(scanned.capacity, g.loadBalancer().capacity(), 1e-9);
         assertEquals(
-                walked.all.values().stream().filter(WalkedHosts.Known::listed).count(),
+                scanned.all.values().stream().filter(ScannedHosts.Known::listed).count(),
                 g.loadBalancer().clusterHealth(g.now()).size());
     }
 
-    /** So many gateways, each told the same hosts. */
+    /** So many gateways, each listed the same hosts. */
     private static List<FakeGateway> fleet(int gateways, List<Host> hosts) {
         List<FakeGateway> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
@@ -177,14 +179,15 @@
         return fleet;
     }
 
-    private static Map<String, Integer> keepers(List<FakeGateway> fleet) {
-        Map<String, Integer> keepers = new HashMap<>();
-        fleet.forEach(g ->
-                g.loadBalancer().subset().forEach(s -> keepers.merge(s.host().id(), 1, Integer::sum)));
-        return keepers;
+    private static Map<String, Integer> gatewaysByHost(List<FakeGateway> fleet) {
+        Map<String, Integer> gatewaysByHost = new HashMap<>();
+        fleet.forEach(g -> g.loadBalancer()
+                .subset()
+                .forEach(s -> gatewaysByHost.merge(s.host().id(), 1, Integer::sum)));
+        return gatewaysByHost;
     }
 
-    /** The most homes that a gateway gains or loses by a change, and how many all gain and lose. */
+    /** The most subset that a gateway gains or loses by a change, and how many all gain and lose. */
     private record Moves(int mostGained, int mostLost, int gained, int lost) {}
 
     private static Moves change(List<FakeGateway> fleet, Host h) {
@@ -205,11 +208,11 @@
     }
 
     @Test
-    void ofManyGatewaysSixKeepToEachHostAndAChangeMovesTheirHomesAlone() {
+    void inALargeFleetSixGatewaysUseEachHostAndAChangeMovesTheirSubsetsAlone() {
         List<FakeGateway> fleet = fleet(240, hosts(3000));
-        Map<String, Integer> keepers = keepers(fleet);
-        assertEquals(3000, keepers.size());
-        assertEquals(Set.of(6), new HashSet<>(keepers.values()));
+        Map<String, Integer> gatewaysByHost = gatewaysByHost(fleet);
+        assertEquals(3000, gatewaysByHost.size());
+        assertEquals(Set.of(6), new HashSet<>(gatewaysByHost.values()));
         int least = fleet.stream()
                 .mapToInt(g -> g.loadBalancer().subset().size())
                 .min()
@@ -218,7 +221,7 @@
                 .mapToInt(g -> g.loadBalancer().subset().size())
                 .max()
                 .orElseThrow();
-        assertTrue(least >= 45 && most <= 110, least + " to " + most + " homes, 75 on the mean");
+        assertTrue(least >= 45 && most <= 110, least + " to " + most + " subset, 75 on the mean");
         for (int i = 0; i < 20; i++) {
             assertEquals(new Moves(1, 0, 6, 0), change(fleet, FakeGateway.host("new" + i, "z1")));
         }
@@ -226,29 +229,29 @@
             Host gone = new Host("h" + i * 100, "z1", "std", 0, HostState.GONE, 1, 0);
             assertEquals(new Moves(0, 1, 0, 6), change(fleet, gone));
         }
-        assertEquals(Set.of(6), new HashSet<>(keepers(fleet).values()));
+        assertEquals(Set.of(6), new HashSet<>(gatewaysByHost(fleet).values()));
     }
 
     @Test
-    void ofManyGatewaysBeforeFewHostsEachChangesOneHomeAtMostByAChange() {
+    void inALargeFleetWithFewHostsAChangeMovesOneEndpointOfASubsetAtMost() {
         List<FakeGateway> fleet = fleet(240, hosts(320));
-        Map<String, Integer> keepers = keepers(fleet);
-        assertEquals(320, keepers.size());
-        assertEquals(Set.of(6), new HashSet<>(keepers.values())); // 240 times eight homes
+        Map<String, Integer> gatewaysByHost = gatewaysByHost(fleet);
+        assertEquals(320, gatewaysByHost.size());
+        assertEquals(Set.of(6), new HashSet<>(gatewaysByHost.values())); // 240 times eight subset
         for (int i = 0; i < 20; i++) {
             Moves moves = change(fleet, FakeGateway.host("new" + i, "z1"));
             assertTrue(moves.mostGained <= 1 && moves.mostLost <= 1, moves.toString());
-            assertTrue(keepers(fleet).values().stream().allMatch(k -> k >= 5 && k <= 7));
+            assertTrue(gatewaysByHost(fleet).values().stream().allMatch(k -> k >= 5 && k <= 7));
         }
     }
 
     @Test
-    void theLastWordToldOfAHostCounts() {
+    void ofSeveralEntriesForAHostTheLastOneCounts() {
         FakeGateway g = FakeGateway.alone();
         Host a = host("a", "z1", 1);
         Host gone = new Host("a", "z1", "std", 1, HostState.GONE, 1, 0);
         g.hostsUpdated(HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
-        assertEquals(List.of("b"), open(g));
+        assertEquals(List.of("b"), usable(g));
         assertEquals(1, g.loadBalancer().clusterHealth(g.now()).size());
         EndpointTable table = g.loadBalancer().table();
         assertEquals(0, table.usableSharing(DeduplicationScope.ZONE, a).size());
@@ -256,15 +259,15 @@
                 1,
                 table.usableSharing(DeduplicationScope.CELL, host("c", "z2", 2)).size());
         g.hostsUpdated(HostListKind.CHANGES, List.of(gone, a));
-        assertEquals(List.of("a", "b"), open(g));
+        assertEquals(List.of("a", "b"), usable(g));
         g.hostsUpdated(HostListKind.FULL, List.of(a));
-        assertEquals(List.of("a"), open(g));
+        assertEquals(List.of("a"), usable(g));
         g.pass(6000);
         assertNull(table.find("b"));
     }
 
     /** Of very many hosts one alone drops repeats of what another may have run, and is no home of its gateway. */
-    private static void aRepeatFindsTheHostOfItsPlace(DeduplicationScope scope, String zone) {
+    private static void assertRetryFindsTheHostOfItsPlace(DeduplicationScope scope, String zone) {
         RequestClass order =
                 new RequestClass("order", Idempotency.IDEMPOTENCY_KEY, scope, 60_000, 1000, 3000, 3, 0, false);
         Settings s = FakeGateway.settings(3, 100);
@@ -289,10 +292,10 @@
         g.ask("r", "order");
         String first = g.hostOf("r");
         g.hostsUpdated(HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
-        Set<String> homes = Set.copyOf(ids(g.loadBalancer().subset()));
+        Set<String> subset = Set.copyOf(ids(g.loadBalancer().subset()));
         String other = hosts.stream()
                 .map(Host::id)
-                .filter(id -> !homes.contains(id) && !id.equals(first))
+                .filter(id -> !subset.contains(id) && !id.equals(first))
                 .findFirst()
                 .orElseThrow();
         g.end("r", 0, Outcome.ERROR, 5);
@@ -304,13 +307,13 @@
     }
 
     @Test
-    void aRepeatFindsTheOneHostOfItsZoneAmongVeryMany() {
-        aRepeatFindsTheHostOfItsPlace(DeduplicationScope.ZONE, "rare");
+    void retryWithAKeyOfTheZoneFindsTheOnlyHostOfTheZoneAmongVeryMany() {
+        assertRetryFindsTheHostOfItsPlace(DeduplicationScope.ZONE, "rare");
     }
 
     @Test
-    void aRepeatFindsTheOneHostOfItsCellAmongVeryMany() {
-        aRepeatFindsTheHostOfItsPlace(DeduplicationScope.CELL, "far");
+    void retryWithAKeyOfTheCellFindsTheOnlyHostOfTheCellAmongVeryMany() {
+        assertRetryFindsTheHostOfItsPlace(DeduplicationScope.CELL, "far");
     }
 
     /** A gateway among the 4,200 to come. */
@@ -321,27 +324,27 @@
     }
 
     @Test
-    void whereAllHomesAreColdARequestComparesAThousandOtherHostsAtMost() {
+    void whereTheWholeSubsetIsInSlowStartARequestComparesAThousandOthersAtMost() {
         FakeGateway g = oneOfMany(hosts(20_000));
         g.hostsUpdated(
                 HostListKind.CHANGES,
                 g.loadBalancer().subset().stream()
                         .map(s -> new Host(s.host().id(), "z1", "std", 0, HostState.RUNNING, 1, g.now()))
                         .toList());
-        List<Double> touched = new ArrayList<>();
+        List<Double> visited = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             long before = g.loadBalancer().table().visited();
             g.ask("r" + i, "read");
-            touched.add((double) (g.loadBalancer().table().visited() - before));
+            visited.add((double) (g.loadBalancer().table().visited() - before));
             assertEquals(1, g.sends("r" + i));
             g.end("r" + i, 0, Outcome.OK, 5);
         }
-        assertTrue(touched.stream().allMatch(t -> t <= 1024), touched.toString());
-        assertTrue(touched.stream().anyMatch(t -> t > 0), touched.toString());
+        assertTrue(visited.stream().allMatch(t -> t <= 1024), visited.toString());
+        assertTrue(visited.stream().anyMatch(t -> t > 0), visited.toString());
     }
 
     /** Hosts compared, copied or visited for a change, on the mean of hosts that go and return. */
-    private static double touchedByAChange(int count) {
+    private static double visitedByAChange(int count) {
         FakeGateway g = oneOfMany(hosts(count));
         Random random = new Random(1);
         int changes = 4000;
@@ -357,21 +360,21 @@
     }
 
     @Test
-    void aChangeCostsLittleMoreAmongTheHostsToComeThanAmongTenThousand() {
-        double few = touchedByAChange(10_000);
-        double many = touchedByAChange(160_000);
-        assertTrue(many <= 1.5 * few, many + " hosts touched beside " + few);
+    void aChangeAmong160000HostsVisitsLittleMoreThanAmong10000() {
+        double few = visitedByAChange(10_000);
+        double many = visitedByAChange(160_000);
+        assertTrue(many <= 1.5 * few, many + " hosts visited beside " + few);
     }
 
     @Test
-    void anIdleSecondCostsWhatTheGatewayKeepsTo() {
+    void anIdleSecondVisitsNoMoreThanTheSubset() {
         FakeGateway g = oneOfMany(hosts(160_000));
         g.pass(20_000);
         long before = g.loadBalancer().table().visited();
         g.pass(1000);
-        long touched = g.loadBalancer().table().visited() - before;
+        long visited = g.loadBalancer().table().visited() - before;
         assertTrue(
-                touched <= 4L * g.loadBalancer().subset().size(),
-                touched + " for " + g.loadBalancer().subset().size() + " homes");
+                visited <= 4L * g.loadBalancer().subset().size(),
+                visited + " for " + g.loadBalancer().subset().size() + " subset");
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void itFindsHostsByIdAndByRankAsASortedSetDoes() {
+    void findsEndpointsByIdAndByRankAsASortedSetDoes() {
         Random random = new Random(3);
         Comparator<Endpoint> order =
                 Comparator.<Endpoint>comparingInt(s -> key(s.id())).thenComparing(s -> s.id());
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void ofNoHostsItFindsNone() {
+    void anEmptyListFindsNothing() {
         RankedEndpoints ranked = new RankedEndpoints();
         Endpoint s = new Endpoint(FakeGateway.host("a1", "a"));
         assertNull(ranked.find(1, "a1"));
