--- a/src/test/java/caperrudder/server/ClientReadingTest.java
+++ b/src/test/java/caperrudder/server/ClientReadingTest.java
@@ -55,7 +55,7 @@
                 "no colon here\r\nContent-Length: 0\r\n\r\n",
                 "Content-Length : 3\r\n\r\nabc"
             })
-    void aRequestOfUncertainEndIsRefusedAndItsConnectionClosed(String rest) throws Exception {
+    void requestOfAmbiguousLengthIsRejectedAndItsConnectionClosed(String rest) throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host)).send(ORDER + rest + INNER);
         Message answer = c.receive();
@@ -68,7 +68,7 @@
     /** A request that is safe to repeat goes on without a length, so a host would read its body as another one. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 28\r\n\r\n" + INNER, "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"})
-    void aGetWithABodyDoesNotGoOn(String rest) throws Exception {
+    void getWithABodyIsNotForwarded(String rest) throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host));
         String plain = view("v", Sockets.PATIENCE_MS);
@@ -109,7 +109,7 @@
                 "/view/|view/",
                 "HTTP/1.1|HTTP/3.7"
             })
-    void whatCantBeIsNotCounted(String good, String bad) throws Exception {
+    void impossibleValuesAreRejectedAndNotCounted(String good, String bad) throws Exception {
         Server host = host(SocketTest::echo);
         String plain = view("v", 1000);
         assertTrue(plain.contains(good));
@@ -124,7 +124,7 @@
 
     /** What its class allows bounds the time that is told to the host, whatever the client says. */
     @Test
-    void noRequestWaitsLongerThanItsClassDoes() throws Exception {
+    void timeToldToTheHostIsBoundedByTheClass() throws Exception {
         Server host = host(SocketTest::echo);
         assertEquals(
                 200,
@@ -134,7 +134,7 @@
 
     /** Renamed and served, it would reach a host under the id that somebody else's request has. */
     @Test
-    void anIdThatIsOpenIsTurnedAway() throws Exception {
+    void idOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         Server host = host((m, s) -> {
             told.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -158,7 +158,7 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"Content-Length: 60000000\r\n\r\n", "Content-Length: 60000000\r\nExpect: 100-continue\r\n\r\n"})
-    void aBodyTooLongIsRefusedInItsTurn(String rest) throws Exception {
+    void bodyAnnouncedTooLongIsRejectedInItsTurn(String rest) throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
         Server host = host((m, s) -> {
             sent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void aBodyOfManyChunksIsRefusedOnceItIsTooLong() throws Exception {
+    void chunkedBodyIsRejectedOnceItIsTooLong() throws Exception {
         Server host = host((m, s) -> s.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
         Client c = client(nodeBefore(host)).send(ORDER + "Transfer-Encoding: chunked\r\n\r\n");
         String chunk = "40000\r\n" + "x".repeat(0x40000) + "\r\n";
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void aClientThatAsksIsToldToSendItsBody() throws Exception {
+    void clientThatExpectsContinueGetsIt() throws Exception {
         Client c = client(nodeBefore(host(SocketTest::echo)));
         c.send(ORDER + "Content-Length: 4\r\nExpect: 100-continue\r\n\r\n");
         assertEquals(100, c.receive().status());
@@ -202,7 +202,7 @@
                 "GET /view/x HTTP/1.1\r\nX-A: b\r\nX-",
                 "POST /order/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
-    void anUnfinishedRequestIsGivenUp(String half) throws Exception {
+    void incompleteRequestTimesOut(String half) throws Exception {
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client c = client(node).send(half);
         Client used = client(node).send(view("v", Sockets.PATIENCE_MS));
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void aHeadWithoutEndIsRefused() throws Exception {
+    void headBeyondItsLimitIsRejected() throws Exception {
         Client c = client(nodeBefore(host(SocketTest::echo)));
         c.send("GET /view/x HTTP/1.1\r\n" + "X-A: bcdefghijklmnopqrstuvwxyz\r\n".repeat(300));
         assertEquals(431, c.receive().status());
@@ -224,7 +224,7 @@
 
     /** Hundreds that say nothing must not take the place of one that does, nor of those that are in use. */
     @Test
-    void aSilentCrowdTakesNoUsedConnection() throws Exception {
+    void silentCrowdEvictsNoUsedConnection() throws Exception {
         Server host = host(SocketTest::echo);
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
@@ -259,7 +259,7 @@
 
     /** It has sent something lately; those who came after it and stopped give way first. */
     @Test
-    void aHeadThatComesSlowlyStaysInACrowdThatStopped() throws Exception {
+    void slowHeadIsKeptInACrowdThatStopped() throws Exception {
         Server host = host(SocketTest::echo);
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
@@ -291,7 +291,7 @@
 
     /** Many that ask for health on ever new connections once pushed out those that bring the requests. */
     @Test
-    void aCrowdThatAsksOnceTakesNoRegularsPlace() throws Exception {
+    void crowdOfSingleUseConnectionsEvictsNoRegularOne() throws Exception {
         Server host = host(SocketTest::echo);
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
@@ -344,7 +344,7 @@
 
     /** A flood of bad requests is answered whole, but read only now and then. */
     @Test
-    void badRequestsAreAllAnswered() throws Exception {
+    void floodOfBadRequestsIsAllAnswered() throws Exception {
         Client c = client(nodeBefore(host(SocketTest::echo)));
         String bad = view("v", 1000).replace("units=1", "units=x");
         c.send(bad.repeat(40));
@@ -357,7 +357,7 @@
     }
 
     @Test
-    void aKeyedRequestKeepsItsBody() throws Exception {
+    void keyedRequestKeepsItsBody() throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host));
         c.send(ORDER + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
@@ -368,7 +368,7 @@
 
     /** Bytes that can't be read behind a long body have their turn behind its answer. */
     @Test
-    void noiseRightBehindALongBodyEndsTheConnectionAfterItsAnswer() throws Exception {
+    void garbageBehindALongBodyEndsTheConnectionAfterItsResponse() throws Exception {
         Client c = client(nodeBefore(host(SocketTest::echo)));
         String body = "x".repeat(100_000);
         c.send(order("o", body) + "noise\r\n\r\n");
--- a/src/test/java/caperrudder/server/ClosingTest.java
+++ b/src/test/java/caperrudder/server/ClosingTest.java
@@ -48,7 +48,7 @@
 
     /** Closing over what had come behind the request reset the connection, and most of the answer was lost. */
     @Test
-    void theLastAnswerIsTakenWholeThoughMoreWasSentThanIsRead() throws Exception {
+    void lastResponseIsTakenWholeWhenMoreWasSentThanIsRead() throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
         Server host = host((m, to) -> {
             sent.await(TIME, TimeUnit.MILLISECONDS);
@@ -67,7 +67,7 @@
 
     /** The close of a connection that rested crossed a request, and the answer before was not taken yet. */
     @Test
-    void anAnswerIsTakenWholeThoughARequestCrossesTheEnd() throws Exception {
+    void responseIsTakenWholeWhenARequestCrossesTheClose() throws Exception {
         GatewayServer node = nodeBefore(host((m, to) -> to.getOutputStream().write(Sockets.ok(BODY))));
         Socket s = slow(node);
         s.getOutputStream().write(bytes(view("v", TIME)));
@@ -82,7 +82,7 @@
 
     /** Read after the end of the output it can't be answered: its client asks again elsewhere. */
     @Test
-    void aRequestThatCrossesTheEndReachesNoHost() throws Exception {
+    void requestThatCrossesTheCloseReachesNoHost() throws Exception {
         Server host = host(SocketTest::echo);
         GatewayServer node = nodeBefore(host);
         Client c = client(node);
@@ -107,7 +107,7 @@
 
     /** A client that neither takes nor ends holds nothing up for long. */
     @Test
-    void aClientThatNeverEndsItsSideIsClosedOnSoon() throws Exception {
+    void clientThatNeverEndsItsSideIsClosedSoon() throws Exception {
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client c = client(node);
         assertEquals(200, c.send(view("v", TIME)).receive().status());
@@ -118,7 +118,7 @@
 
     /** Nor does one that goes on sending without end: it is read away only for a while. */
     @Test
-    void aFloodBehindTheLastAnswerIsCutOff() throws Exception {
+    void floodBehindTheLastResponseIsCutOff() throws Exception {
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client c = client(node);
         c.send(view("v", TIME).replace("Host: h", "Host: h\r\nConnection: close"));
@@ -137,7 +137,7 @@
 
     /** Connections of which only the client's end is awaited take nobody's place. */
     @Test
-    void connectionsThatHaveEndedGiveWayFirst() throws Exception {
+    void lingeringConnectionsAreEvictedFirst() throws Exception {
         registry = kept(new Sockets.Registry(Sockets.list(1, true)));
         GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 60"));
--- a/src/test/java/caperrudder/server/GatewayServerTest.java
+++ b/src/test/java/caperrudder/server/GatewayServerTest.java
@@ -59,7 +59,7 @@
     private static final String DEAD = "127.0.0.1:1"; // below the ports that the system gives out
 
     @Test
-    void requestAndAnswerPassUnchanged() throws Exception {
+    void requestAndResponsePassUnchanged() throws Exception {
         byte[] body = new byte[60_000];
         for (int i = 0; i < body.length; i++) {
             body[i] = (byte) (i * 31);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aHostThatRefusesConnectionsCostsNoRequest() throws Exception {
+    void requestIsRetriedWhenAHostRefusesConnections() throws Exception {
         Server host = host(GatewayServerTest::echo);
         GatewayServer node = nodeWith(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
@@ -96,7 +96,7 @@
 
     /** It may have run, so the client must not be told that a further try is harmless (rule 2). */
     @Test
-    void aKeyedRequestWhoseConnectionsBreakFailsAndIsNotRefused() throws Exception {
+    void keyedRequestFailsAndIsNotRejectedWhenItsConnectionsBreak() throws Exception {
         Server host = host((m, s) -> s.close());
         int status = client(nodeBefore(host)).send(order("o", "b")).receive().status();
         assertEquals(502, status);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aRequestThatNeverRanIsRefusedWithATimeToComeBack() throws Exception {
+    void requestThatNeverRanIsRejectedWithRetryAfter() throws Exception {
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
         Message answer = client(nodeBefore(host)).send(order("o", "b")).receive();
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void excessIsRefusedAtOnceWithATimeToComeBack() throws Exception {
+    void excessOverTheQuotaIsRejectedWithRetryAfter() throws Exception {
         Server host = host(GatewayServerTest::echo);
         Client c = client(nodeBefore(host));
         String tiny = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny");
@@ -126,7 +126,7 @@
 
     /** Another plan in the same customer's name once opened new books, with a full store. */
     @Test
-    void anotherPlanClaimedRefillsNoStore() throws Exception {
+    void claimingAnotherPlanDoesNotRefillTheBucket() throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host));
         String free = view("t", Sockets.PATIENCE_MS);
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void halfAnAnswerIsNeverServed() throws Exception {
+    void requestIsRetriedWhenItsResponseBreaksOff() throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Server host = host((m, s) -> {
             if (asked.incrementAndGet() > 1) {
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void anAttemptEndsWithItsClient() throws Exception {
+    void attemptIsCancelledWhenItsClientLeaves() throws Exception {
         Server host = host((m, s) -> {});
         Client c = client(nodeBefore(host));
         c.send(view("v", Sockets.PATIENCE_MS));
@@ -170,7 +170,7 @@
 
     /** What comes after the client's time must reach nobody: not that client, nor the next request. */
     @Test
-    void aLateAnswerReachesNoOtherRequest() throws Exception {
+    void lateResponseReachesNoOtherRequest() throws Exception {
         CountDownLatch timeIsUp = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("slow")) {
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void badRequestsAreToldSoAndReachNoHost() throws Exception {
+    void badRequestsGetAnErrorAndReachNoHost() throws Exception {
         Server host = host(GatewayServerTest::echo);
         GatewayServer node = nodeBefore(host);
         String good = view("v", 1000);
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         Client c = client(nodeBefore(host(GatewayServerTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void aDrainingHostGetsNothingNewAndAMovedOneIsFollowed() throws Exception {
+    void drainingHostGetsNothingNewAndAMovedOneIsFollowed() throws Exception {
         Server old = host(GatewayServerTest::echo);
         Server fresh = host(GatewayServerTest::echo);
         GatewayServer node = nodeBefore(old);
@@ -261,7 +261,7 @@
     }
 
     @Test
-    void aFullListDropsTheHostsThatItDoesNotName() throws Exception {
+    void fullListRemovesTheHostsThatItDoesNotName() throws Exception {
         Server old = host(GatewayServerTest::echo);
         Server fresh = host(GatewayServerTest::echo);
         GatewayServer node = nodeBefore(old);
@@ -275,7 +275,7 @@
 
     /** The first calls of a watch that is broken again and again, and still goes on from the version held. */
     @Test
-    void aBrokenWatchGoesOnFromItsVersion() throws Exception {
+    void brokenWatchGoesOnFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         Server broken = kept(new Server((m, s) -> {
             if (!m.start().contains("from=")) {
@@ -293,7 +293,7 @@
 
     /** A release that killed most of a fleet had all of them ask for whole lists, and seven of ten got none for 10 s. */
     @Test
-    void aStartAsksOnlyForWhatChangedSinceTheListItKnows() throws Exception {
+    void startPollsOnlyForChangesSinceTheKnownList() throws Exception {
         Server host = host(GatewayServerTest::echo);
         Server agent = kept(new Server((m, s) -> s.getOutputStream()
                 .write(ok(
@@ -312,7 +312,7 @@
 
     /** An agent that numbers anew may not know a version of before; then the whole list is due. */
     @Test
-    void aVersionThatDiscoveryDoesNotKnowIsNotAskedForAgain() throws Exception {
+    void versionUnknownToDiscoveryIsNotPolledAgain() throws Exception {
         Server agent = kept(new Server((m, s) -> s.getOutputStream()
                 .write(
                         m.start().contains("from=41&")
@@ -341,7 +341,7 @@
 
     /** A fleet that starts together once asked together, twenty times a second each. */
     @Test
-    void discoveryThatTurnsCallersAwayIsAskedLessAndLessOften() throws Exception {
+    void discoveryThatRejectsPollsIsPolledWithBackoff() throws Exception {
         Server refusing = kept(new Server((m, s) -> s.close()));
         ends.push(Sockets.node(asking(refusing))::stop);
         for (int i = 0; i < 5; i++) {
@@ -351,7 +351,7 @@
     }
 
     @Test
-    void aTimeToStayAwayThatDiscoveryTellsIsKept() throws Exception {
+    void retryAfterOfDiscoveryIsKept() throws Exception {
         Server busy = kept(new Server((m, s) -> {
             s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nRetry-After: 1.0\r\nContent-Length: 0\r\n\r\n"));
             s.close();
@@ -362,7 +362,7 @@
 
     /** One entry that can't be read once threw the whole list away, and again each time it was asked for. */
     @Test
-    void aMalformedEntryCostsOnlyItsOwnHost() throws Exception {
+    void malformedEntryCostsOnlyItsOwnHost() throws Exception {
         Server known = host(GatewayServerTest::echo);
         Server fresh = host(GatewayServerTest::echo);
         GatewayServer node = nodeBefore(known);
@@ -386,7 +386,7 @@
 
     /** The old agent may have an answer under way, whose hosts are those of before the move. */
     @Test
-    void anAgentThatWasLeftIsNotHeard() throws Exception {
+    void updateOfAnAgentThatWasLeftIsIgnored() throws Exception {
         Server gone = host(GatewayServerTest::echo);
         Server fresh = host(GatewayServerTest::echo);
         CountDownLatch moved = new CountDownLatch(1);
@@ -420,7 +420,7 @@
     }
 
     @Test
-    void peersAreAskedInShortDatagramsAndStrangersPassedOver() throws Exception {
+    void peersGetShortDatagramsAndStrangersAreIgnored() throws Exception {
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
@@ -452,7 +452,7 @@
 
     /** What waited in its socket while the loop was busy was once sent on as new, and answered to nobody. */
     @Test
-    void whatABusyLoopReadsTooLateIsRefusedAtOnce() throws Exception {
+    void requestReadTooLateByABusyEventLoopIsRejected() throws Exception {
         Server host = host(GatewayServerTest::echo);
         GatewayServer node = nodeBefore(host);
         Client client = client(node);
@@ -483,7 +483,7 @@
 
     /** A longer absence from a fleet that serves costs more than a slow start; a fleet at rest can wait. */
     @Test
-    void isMissedOnceAPeerHasSpoken() throws Exception {
+    void hasHeardPeersOnceAPeerHasSent() throws Exception {
         try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
@@ -505,7 +505,7 @@
     }
 
     @Test
-    void whatIsOpenAtADrainIsAnsweredAndItsConnectionClosed() throws Exception {
+    void requestsOpenAtADrainAreAnsweredAndTheirConnectionsClosed() throws Exception {
         CountDownLatch draining = new CountDownLatch(1);
         Server host = host((m, s) -> {
             draining.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -532,7 +532,7 @@
 
     /** Each once ended with its next answer: where gateways restart in turn, their clients then found none at all. */
     @Test
-    void aDrainServesOnWhereClientsKeepTheirConnections() throws Exception {
+    void drainServesOnKeptConnections() throws Exception {
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         Client kept = client(node);
         assertEquals(
@@ -551,7 +551,7 @@
 
     /** Closing the listener resets who stands in its queue: they come while the loop is busy. */
     @Test
-    void whoWaitsAtTheDoorIsServedBeforeANodeGivesWay() throws Exception {
+    void pendingConnectionsAreServedBeforeYieldingToASuccessor() throws Exception {
         GatewayServer node = nodeBefore(host(SocketTest::echo));
         CountDownLatch came = new CountDownLatch(1);
         node.loop().execute(() -> {
@@ -578,7 +578,7 @@
 
     /** The next process of a gateway takes clients before the last one leaves. */
     @Test
-    void twoNodesTakeClientsAtOneAddress() throws Exception {
+    void twoGatewaysAcceptClientsAtOneAddress() throws Exception {
         GatewayServer first = nodeBefore(host(SocketTest::echo));
         GatewayServer second = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"127.0.0.1:" + first.port() + "\""));
@@ -597,7 +597,7 @@
 
     /** What is served late in a drain still has its wanted time before all ends, and that comes before the kill. */
     @Test
-    void aDrainServesAsLongAsTheKillLeavesTime() {
+    void drainTimingsLeaveTimeBeforeTheKill() {
         assertEquals(new DrainTimings(500, 2401, 2926), DrainTimings.of(List.of(timed(399, 1754), timed(525, 2626))));
         assertEquals(new DrainTimings(500, 1000, 3000), DrainTimings.of(List.of(timed(2000, 7500))));
         assertEquals(new DrainTimings(500, 780, 900), DrainTimings.of(List.of(timed(120, 600))));
@@ -606,7 +606,7 @@
 
     /** Nothing may be left open when the process is killed: what still runs then is failed or refused before. */
     @Test
-    void aDrainEndsWhatAHostNeverAnswers() throws Exception {
+    void requestWithoutAResponseFailsAtTheEndOfADrain() throws Exception {
         Server host = host((m, s) -> {});
         GatewayServer node = nodeBefore(host);
         Client c = client(node).send(order("o", "b"));
@@ -685,7 +685,7 @@
 
     /** Without it the module never learns what the other gateways let in, and every part stays the even one. */
     @Test
-    void theMeteredUseThatAnAnswerTellsReachesTheModule() throws Exception {
+    void meteredUseInAResponseReachesThePolicy() throws Exception {
         Map<String, String> answers = new LinkedHashMap<>();
         answers.put("told", "HTTP/1.1 200 OK\r\nX-Quota-Used: 86\r\n");
         answers.put("idle", "HTTP/1.1 200 OK\r\nX-Quota-Used: 0\r\n");
@@ -717,7 +717,7 @@
 
     /** What the module forgets or breaks on is failed, not refused: it may have run (rules 1 and 2). */
     @Test
-    void aModuleThatThrowsStillCostsNoAnswer() throws Exception {
+    void requestIsAnsweredWhenThePolicyThrows() throws Exception {
         GatewayServer node = scripted(act -> new Scripted((now, r) -> {
             if (r.requestClass().equals("view")) {
                 throw new IllegalStateException("made up by the test");
@@ -731,7 +731,7 @@
 
     /** Only the first final answer goes out; a second one would be taken for the next request's. */
     @Test
-    void aModuleThatAnswersTwiceIsHeardOnce() throws Exception {
+    void onlyTheFirstAnswerOfThePolicyIsSent() throws Exception {
         GatewayServer node = scripted(act -> new Scripted((now, r) -> {
             if (r.requestClass().equals("view")) {
                 act.fail(r.id());
@@ -747,7 +747,7 @@
 
     /** Idle clients may not use up the descriptors that others need, nor may a busy one be cut off for them. */
     @Test
-    void idleConnectionsGiveWayBeforeDescriptorsRunOut() throws Exception {
+    void idleConnectionsAreEvictedBeforeDescriptorsRunOut() throws Exception {
         CountDownLatch crowded = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
@@ -776,7 +776,7 @@
     }
 
     @Test
-    void aBadConfigurationIsOnePlainLine() {
+    void badConfigurationIsToldInOneLine() {
         for (String bad : List.of(
                 "[]",
                 "{}",
--- a/src/test/java/caperrudder/server/HostAnswersTest.java
+++ b/src/test/java/caperrudder/server/HostAnswersTest.java
@@ -46,7 +46,7 @@
                 OK + "\r\nspam",
                 "HTTP/1.1 101 Go\r\n\r\nspam"
             })
-    void aSpoiltAnswerFailsItsAttemptAtOnceAndItsConnectionCloses(String spoilt) throws Exception {
+    void malformedResponseFailsItsAttemptAndClosesItsConnection(String spoilt) throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Server host = host((m, s) -> {
             if (asked.incrementAndGet() > 1) {
@@ -63,7 +63,7 @@
 
     /** It may have run: a keyed request whose answers all come spoilt is failed and never refused (rule 2). */
     @Test
-    void aRequestWhoseAnswersAllComeSpoiltFails() throws Exception {
+    void requestFailsWhenAllItsResponsesAreMalformed() throws Exception {
         Server host = host((m, s) -> s.getOutputStream().write(bytes("HTTP/1.1 twohundred\r\n\r\n")));
         assertEquals(
                 502, client(nodeBefore(host)).send(order("o", "b")).receive().status());
@@ -80,7 +80,7 @@
                 "noise",
                 "\r\n"
             })
-    void whatComesBehindAnAnswerReachesNobody(String behind) throws Exception {
+    void bytesBehindAResponseReachNobody(String behind) throws Exception {
         Set<Socket> used = ConcurrentHashMap.newKeySet();
         Server host = host((m, s) -> {
             assertTrue(used.add(s), "asked again on a connection that holds more than its answer");
@@ -101,7 +101,7 @@
     /** The host speaks up only when the connection is idle again; the next request must not get that. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond", "HTTP/1.1 200 OK\r\nContent-"})
-    void whatAnIdleConnectionBringsClosesIt(String unasked) throws Exception {
+    void bytesOnAnIdleConnectionCloseIt(String unasked) throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Server host = host((m, s) -> {
             echo(m, s);
@@ -119,7 +119,7 @@
     /** Both are good answers: 1xx ahead is no answer yet, and a load report is only worth what it can be read for. */
     @Test
     @SuppressWarnings("StringConcatToTextBlock") // lines of HTTP end in two characters
-    void interimAnswersAndAReportThatCantBeReadCostNothing() throws Exception {
+    void interimResponsesAndAnUnreadableLoadReportCostNothing() throws Exception {
         Server host = host((m, s) -> {
             s.getOutputStream()
                     .write(bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void anAnswerInManyPiecesIsServedWhole() throws Exception {
+    void responseInManyPiecesIsServedWhole() throws Exception {
         Server host = host((m, s) -> {
             for (byte b : ok("for " + m.header("X-Trace-Id"))) {
                 s.getOutputStream().write(b);
@@ -154,7 +154,7 @@
      * carried its next request within 5 ms. That copy would have been taken for the next answer.
      */
     @Test
-    void aConnectionRestsBeforeItCarriesTheNextRequest() throws Exception {
+    void connectionRestsBeforeItCarriesTheNextRequest() throws Exception {
         Map<Socket, Long> answeredAt = new ConcurrentHashMap<>();
         Queue<Double> restsMs = new ConcurrentLinkedQueue<>();
         Server host = host((m, s) -> {
@@ -177,7 +177,7 @@
     /** It stands unread in its socket, and the loop comes to the request first. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 2", "\r", "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"})
-    void whatComesAsItsConnectionIsTakenReachesNobody(String unasked) throws Exception {
+    void unreadBytesOnAConnectionTakenFromThePoolReachNobody(String unasked) throws Exception {
         Queue<Socket> used = new ConcurrentLinkedQueue<>();
         Server host = host((m, s) -> {
             used.add(s);
--- a/src/test/java/caperrudder/server/LateConnectionTest.java
+++ b/src/test/java/caperrudder/server/LateConnectionTest.java
@@ -79,7 +79,7 @@
     /** The message was once written without another look at the list. */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone"})
-    void aConnectionThatComesUpAfterADrainWasToldCarriesNothing(String state) throws Exception {
+    void connectionUpAfterItsHostDrainsCarriesNothing(String state) throws Exception {
         Shut late = kept(new Shut());
         Server fresh = host(SocketTest::echo);
         GatewayServer node = nodeWith(entry("h0", late.address(), "ready"));
@@ -96,7 +96,7 @@
     /** Where attempts may not be cancelled its connection still comes up; nothing was sent that could be cancelled. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aRequestWhoseClientLeavesUnderANewConnectionIsNotSent(boolean cancel) throws Exception {
+    void requestIsNotSentWhenItsClientLeavesDuringAConnect(boolean cancel) throws Exception {
         Shut late = kept(new Shut());
         registry = kept(new Registry(list(1, true, entry("h0", late.address(), "ready"))));
         GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
@@ -118,7 +118,7 @@
 
     /** The loop comes to the connection first, and only then to the client that left meanwhile. */
     @Test
-    void aClientWhoseEndIsUnreadAsTheConnectionComesUpIsNotSentFor() throws Exception {
+    void requestIsNotSentWhenItsClientsEndIsUnreadAtTheConnect() throws Exception {
         Shut late = kept(new Shut());
         GatewayServer node = nodeWith(entry("h0", late.address(), "ready"));
         awaitWatches(1);
--- a/src/test/java/caperrudder/server/LeavingClientTest.java
+++ b/src/test/java/caperrudder/server/LeavingClientTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void inTheQueue() throws Exception {
+    void clientLeftInTheQueueIsNotSentFor() throws Exception {
         GatewayServer node = nodeWith();
         awaitWatches(1);
         Client c = client(node).send(view("v", TIME));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void betweenTwoAttempts() throws Exception {
+    void clientLeftBetweenTwoAttemptsIsNotSentFor() throws Exception {
         CountDownLatch noOther = new CountDownLatch(1);
         CountDownLatch turnedAway = new CountDownLatch(1);
         Server full = host((m, s) -> {
@@ -67,7 +67,7 @@
 
     /** A connection that was not read did not tell that its client had left: the request went out all the same. */
     @Test
-    void whileItsConnectionIsNotReadForAllThatWasSentAhead() throws Exception {
+    void clientLeftWhilePipeliningPausesReadingIsNotSentFor() throws Exception {
         GatewayServer node = nodeWith();
         awaitWatches(1);
         StringBuilder ahead = new StringBuilder();
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void whileItsConnectionIsNotReadForItsBadRequests() throws Exception {
+    void clientLeftWhileBadRequestsPauseReadingIsNotSentFor() throws Exception {
         GatewayServer node = nodeWith();
         awaitWatches(1);
         String bad = view("b", TIME).replace("units=1", "units=x");
@@ -95,7 +95,7 @@
 
     /** What was kept of it while it was not read comes in its order, whole. */
     @Test
-    void whatWasSentAheadIsServedWhereItsClientStays() throws Exception {
+    void pipelinedRequestsOfAStayingClientAreServed() throws Exception {
         GatewayServer node = nodeWith();
         awaitWatches(1);
         StringBuilder ahead = new StringBuilder();
@@ -129,7 +129,7 @@
 
     /** With more than 4 KiB unread behind the request that waits its client's end was not seen. */
     @Test
-    void behindALotThatWasSentAhead() throws Exception {
+    void clientLeftBehindManyPipelinedBytesIsNotSentFor() throws Exception {
         GatewayServer node = nodeWith();
         awaitWatches(1);
         Client c = client(node).send(views(100_000));
@@ -154,19 +154,19 @@
 
     /** Nor is it where more stands unread than is kept of one client: that is read away before an attempt begins. */
     @Test
-    void behindMoreThanIsKeptOfWhatWasSentAhead() throws Exception {
+    void clientLeftBehindMorePipelinedBytesThanAreKeptIsNotSentFor() throws Exception {
         assertNoAttemptOnceItLeft(views(250_000));
     }
 
     /** Behind a request that waits a long body is no reason to stop reading: its client may leave, too. */
     @Test
-    void behindALongBodyThatWasSentAhead() throws Exception {
+    void clientLeftBehindALongPipelinedBodyIsNotSentFor() throws Exception {
         assertNoAttemptOnceItLeft(view("v", TIME) + Sockets.order("o", "x".repeat(200_000)));
     }
 
     /** What was kept is served in its order; what came beyond is refused, and the connection ends. */
     @Test
-    void whoStaysBehindMoreThanIsKeptIsServedWhatWasKept() throws Exception {
+    void clientStayingBehindMoreThanIsKeptIsServedWhatWasKept() throws Exception {
         GatewayServer node = nodeWith();
         awaitWatches(1);
         Client c = client(node).send(views(250_000));
@@ -187,7 +187,7 @@
 
     /** Its request would be sent on to a host that waits for its end. */
     @Test
-    void aLongBodyThatIsCutOffBehindOtherRequestsReachesNoHost() throws Exception {
+    void longBodyCutOffBehindOtherRequestsReachesNoHost() throws Exception {
         registry = kept(new Sockets.Registry(list(1, true)));
         GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"memory_mb\": 192", "\"memory_mb\": 1"));
@@ -210,7 +210,7 @@
 
     /** Whatever brings the attempt about (a timer, an answer, a word of a peer), the loop may be late to the socket. */
     @Test
-    void itsEndStandsInItsSocketAsAnAttemptBegins() throws Exception {
+    void clientWhoseEndIsUnreadAtAnAttemptIsNotSentFor() throws Exception {
         Server host = host(SocketTest::echo);
         GatewayServer node = nodeBefore(host);
         awaitWatches(1);
@@ -236,7 +236,7 @@
 
     /** The request and its client's end were read one after the other, and the attempt began between the two. */
     @Test
-    void itsRequestAndItsEndStoodInItsSocketWhileTheLoopWasBusy() throws Exception {
+    void clientWhoseRequestAndEndWereUnreadTogetherIsNotSentFor() throws Exception {
         Server host = host(SocketTest::echo);
         GatewayServer node = nodeBefore(host);
         Client other = client(node);
@@ -252,7 +252,7 @@
 
     /** What was kept in a pause comes from a client that may have left behind more that was not kept. */
     @Test
-    void inThePauseAfterBadRequestsBehindMoreThanIsKept() throws Exception {
+    void clientLeftInTheBadRequestPauseBehindMoreThanIsKeptIsNotSentFor() throws Exception {
         Server host = host(SocketTest::echo);
         GatewayServer node = nodeBefore(host);
         assertEquals("for u ", client(node).send(view("u", TIME)).receive().text());
@@ -270,7 +270,7 @@
 
     /** A body on its way was passed on to its last byte, with which its attempt begins, before its client's end. */
     @Test
-    void rightBehindALongBody() throws Exception {
+    void clientLeftRightBehindALongBodyIsNotSentFor() throws Exception {
         Server host = host(SocketTest::echo);
         GatewayServer node = nodeBefore(host);
         Client other = client(node);
--- a/src/test/java/caperrudder/server/RepeatTest.java
+++ b/src/test/java/caperrudder/server/RepeatTest.java
@@ -77,7 +77,7 @@
         "by_key,half",
         "by_key,'turned away, it says'"
     })
-    void whatMayHaveRunIsRepeatedAsItsEffectPermits(String effect, String end) throws Exception {
+    void requestThatMayHaveRunIsRetriedOnlyAsItsIdempotencyPermits(String effect, String end) throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Server host = host((m, s) -> firstBy(end, asked, m, s));
         Message answer = client(node(effect, host)).send(order("o", "b")).receive();
@@ -89,7 +89,7 @@
     /** It never ran, whatever its effect: no connection came up, or the host said so. */
     @ParameterizedTest
     @CsvSource({"once", "by_key"})
-    void whatNeverRanIsSentElsewhere(String effect) throws Exception {
+    void requestThatNeverRanIsRetriedOnAnotherHost(String effect) throws Exception {
         Server full = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
         Server good = host(SocketTest::echo);
@@ -104,7 +104,7 @@
 
     /** A host ends each connection right behind its answer: none of those may carry the next request. */
     @Test
-    void aConnectionThatEndsAsItLeavesThePoolCostsNoRequest() throws Exception {
+    void connectionClosedInThePoolCostsNoRequest() throws Exception {
         Server host = host((m, s) -> {
             echo(m, s);
             s.close();
--- a/src/test/java/caperrudder/server/StreamingTest.java
+++ b/src/test/java/caperrudder/server/StreamingTest.java
@@ -81,7 +81,7 @@
 
     /** Each was cut off at 64 KiB once, in either direction. */
     @Test
-    void aLongBodyAndALongAnswerPassUnchangedAndTheConnectionsServeOn() throws Exception {
+    void longBodyAndLongResponsePassUnchangedAndConnectionsServeOn() throws Exception {
         byte[] answer = content(LONG);
         Server host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "Content-Length: " + answer.length + "\r\n\r\n"));
@@ -103,7 +103,7 @@
     /** With extensions and trailers, with no length at all, and in pieces. */
     @ParameterizedTest
     @ValueSource(strings = {"chunked", "close"})
-    void anAnswerOfUntoldLengthGoesOnInChunks(String form) throws Exception {
+    void responseOfUnknownLengthIsStreamedInChunks(String form) throws Exception {
         byte[] answer = content(10 * PIECE);
         Server host = host((m, s) -> {
             boolean chunked = form.equals("chunked");
@@ -128,7 +128,7 @@
 
     /** A short one whose end is the connection's was once taken for a broken one. */
     @Test
-    void aShortAnswerThatEndsWithItsConnectionIsServed() throws Exception {
+    void shortResponseEndedByItsConnectionIsServed() throws Exception {
         Server host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "\r\nall of it"));
             s.close();
@@ -144,7 +144,7 @@
 
     /** Nothing holds it whole: who does not read stops the host from writing, and gets all of it later. */
     @Test
-    void aClientThatDoesNotReadStopsTheHost() throws Exception {
+    void clientThatDoesNotReadStopsTheHost() throws Exception {
         AtomicLong written = new AtomicLong();
         byte[] piece = content(PIECE);
         int pieces = 1024; // 32 MB: far more than the sockets between hold
@@ -172,7 +172,7 @@
 
     /** The client must be able to tell, and nobody may be asked again once a part has gone out. */
     @Test
-    void anAnswerThatBreaksOnItsWayEndsTheClientsConnectionInsideIt() throws Exception {
+    void brokenStreamedResponseEndsTheClientsConnectionInsideIt() throws Exception {
         Server host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "Content-Length: " + LONG + "\r\n\r\n"));
             s.getOutputStream().write(content(LONG / 2));
@@ -198,7 +198,7 @@
 
     /** Where only the connection's end tells that an answer is whole, a broken one ends by a reset. */
     @Test
-    void anAnswerOfUntoldLengthThatBreaksOnItsWayIsReset() throws Exception {
+    void brokenStreamedResponseOfUnknownLengthIsReset() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         Server host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "Transfer-Encoding: chunked\r\n\r\n40000\r\n"));
@@ -216,7 +216,7 @@
 
     /** A length that is a lie once got the host's answer to the client, and nobody else was asked. */
     @Test
-    void anAnswerThatOnlyAnnouncesToBeLongIsMadeElsewhere() throws Exception {
+    void responseThatOnlyAnnouncesALengthIsRetriedOnAnotherHost() throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Server host = host((m, s) -> {
             if (asked.incrementAndGet() > 1) {
@@ -233,7 +233,7 @@
 
     /** In pieces for longer than a silence may last: it is slow, and it gives. */
     @Test
-    void anAnswerInSlowPiecesIsNotCutOff() throws Exception {
+    void slowResponseIsNotCutOff() throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Server host = host((m, s) -> {
             asked.incrementAndGet();
@@ -250,7 +250,7 @@
 
     /** It goes on before its end has come, and a refused one is read away without a host. */
     @Test
-    void aLongBodyIsSentOnAsItComes() throws Exception {
+    void longBodyIsStreamedAsItComes() throws Exception {
         CountDownLatch arriving = new CountDownLatch(1);
         Server host = host((m, s) -> {});
         byte[] body = content(LONG);
@@ -296,7 +296,7 @@
     }
 
     @Test
-    void aLongBodyThatIsRefusedIsReadAwayAndItsConnectionServesOn() throws Exception {
+    void rejectedLongBodyIsReadAwayAndItsConnectionServesOn() throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host));
         String tiny = order("t", text(content(LONG))).replace("X-Plan: free", "X-Plan: tiny");
@@ -314,7 +314,7 @@
 
     /** Sent in part and kept nowhere, it can't be sent again, whatever its class allows. */
     @Test
-    void aLongBodyIsNeverSentTwice() throws Exception {
+    void longBodyIsNeverRetriedOncePartOfItWasSent() throws Exception {
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
         Client c = client(nodeBefore(host)).send(order("o", text(content(LONG))));
@@ -324,7 +324,7 @@
 
     /** No part has left for a host that takes no connection: another gets all of it. */
     @Test
-    void aLongBodyGoesOnWhereTheFirstHostIsDown() throws Exception {
+    void longBodyIsRetriedWhenTheFirstHostRefusesConnections() throws Exception {
         Server host = host(SocketTest::echo);
         GatewayServer node =
                 nodeWith(Sockets.entry("dead", "127.0.0.1:1", "ready"), Sockets.entry("live", host.address(), "ready"));
@@ -338,7 +338,7 @@
     }
 
     @Test
-    void aClientThatStopsInsideALongBodyIsGivenUp() throws Exception {
+    void clientThatStopsInsideALongBodyTimesOut() throws Exception {
         Server host = host(SocketTest::echo);
         Client c =
                 client(nodeBefore(host)).send(ORDER + "Content-Length: " + LONG + "\r\n\r\n" + text(content(LONG / 4)));
@@ -349,7 +349,7 @@
     }
 
     @Test
-    void aLongBodyIsAskedForWhereItsClientWaits() throws Exception {
+    void longBodyIsRequestedFromAClientThatExpectsContinue() throws Exception {
         Client c = client(nodeBefore(host(SocketTest::echo)));
         c.send(ORDER + "Content-Length: " + LONG + "\r\nExpect: 100-continue\r\n\r\n");
         assertEquals(100, c.receive().status());
@@ -372,7 +372,7 @@
     /** Passed on after a second, a short answer that went on and on was open for as long as its client stayed. */
     @ParameterizedTest
     @ValueSource(strings = {"1\r\nx\r\n", "400\r\n"})
-    void anAnswerWithoutEndEndsWithItsTimeOrAtTheLongestLength(String chunk) throws Exception {
+    void endlessResponseEndsAtItsDeadlineOrTheMaximalLength(String chunk) throws Exception {
         boolean slow = chunk.startsWith("1");
         CountDownLatch never = new CountDownLatch(1);
         byte[] piece = bytes(slow ? chunk : (chunk + "y".repeat(1024) + "\r\n").repeat(64));
