--- a/src/main/java/caperrudder/api/DeduplicationScope.java
+++ b/src/main/java/caperrudder/api/DeduplicationScope.java
@@ -8,6 +8,6 @@
 
     /** True where both hosts drop repeats of the same keys. */
     public boolean isSharedBy(Host a, Host b) {
-        return this == ALL || a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell());
+        return this == ALL || (a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell()));
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
+++ b/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
@@ -83,7 +83,7 @@
         double gapMs = Math.min(LONGEST_GAP_MS, (gatewayCount - 1) / messagesPerMs);
         for (PeerState peer : new ArrayList<>(queue)) {
             boolean asksOnly = peer.dueReplies().isEmpty();
-            if (peer.sinceSentMs(now) < gapMs || asksOnly && allowance < 1) continue;
+            if (peer.sinceSentMs(now) < gapMs || (asksOnly && allowance < 1)) continue;
             if (asksOnly) allowance -= 1;
             send(now, peer);
             if (peer.hasDue()) continue;
--- a/src/main/java/caperrudder/policy/gossip/QuotaMessageCodec.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaMessageCodec.java
@@ -151,7 +151,7 @@
     private static QuotaEntry readEntry(ByteBuffer buffer) {
         int flags = buffer.get();
         int planNumber = buffer.get() & MAX_BYTE;
-        long customer = (long) (buffer.get() & MAX_BYTE) << Integer.SIZE | buffer.getInt() & MAX_INT;
+        long customer = (long) (buffer.get() & MAX_BYTE) << Integer.SIZE | (buffer.getInt() & MAX_INT);
         return (flags & FLAG_OWNER_REPLY) != 0
                 ? readReply(buffer, flags, customer, planNumber)
                 : readReport(buffer, flags, customer, planNumber);
--- a/src/main/java/caperrudder/policy/retry/RetrySafety.java
+++ b/src/main/java/caperrudder/policy/retry/RetrySafety.java
@@ -27,15 +27,15 @@
     public boolean isRepeatable(double now, RequestClass spec, double firstSentAt) {
         double arrivesBy = now + connectTimeoutMs;
         return spec.idempotency() == Idempotency.IDEMPOTENT
-                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && arrivesBy < firstSentAt + WINDOW_SHARE * spec.deduplicationWindowMs();
+                || (spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && arrivesBy < firstSentAt + WINDOW_SHARE * spec.deduplicationWindowMs());
     }
 
     /** Whether a client may repeat a request that may have run: its retry can reach any host. */
     public static boolean isRepeatableByClient(RequestClass spec) {
         return spec.idempotency() == Idempotency.IDEMPOTENT
-                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && spec.deduplicationScope() == DeduplicationScope.ALL;
+                || (spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && spec.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /** Whether hosts may see a second copy of a request while the first is out, so that one may be given up. */
--- a/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
+++ b/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
@@ -112,7 +112,7 @@
 
     /** A few attempts that the network swallowed say nothing of queues at the hosts, however long they took. */
     private boolean isCongested() {
-        return latencySumMs > STRETCHED * baseSumMs && objectiveShareSum > HARMLESS_OBJECTIVE_SHARE * responses
+        return (latencySumMs > STRETCHED * baseSumMs && objectiveShareSum > HARMLESS_OBJECTIVE_SHARE * responses)
                 || objectiveShareSum > QUEUEING_OBJECTIVE_SHARE * responses
                 || timeouts > responses;
     }
--- a/src/main/java/caperrudder/server/upstream/LoadReportParser.java
+++ b/src/main/java/caperrudder/server/upstream/LoadReportParser.java
@@ -40,7 +40,7 @@
     /** The fields' values of {@code TEXT a=1, b=2}, in their order; empty where one is missing or malformed. */
     double[] parse(String text) {
         Map<String, Double> values = new HashMap<>();
-        for (String part : text.substring(text.indexOf(' ') + 1).split(",")) {
+        for (String part : text.substring(text.indexOf(' ') + 1).split(",", 0)) {
             int equals = part.indexOf('=');
             try {
                 double value = Double.parseDouble(part.substring(equals + 1).trim());
--- a/src/test/java/caperrudder/policy/QuotaSharingTest.java
+++ b/src/test/java/caperrudder/policy/QuotaSharingTest.java
@@ -50,7 +50,7 @@
                 gateways.get(from).told.clear();
                 for (FakeGateway.Told t : told) {
                     serial++;
-                    if (partitioned || dropsMessages && serial % 4 == 0) {
+                    if (partitioned || (dropsMessages && serial % 4 == 0)) {
                         continue;
                     }
                     for (int copy = 0; copy < (duplicatesMessages ? 2 : 1); copy++) {
--- a/src/test/java/caperrudder/policy/TrafficPolicyTest.java
+++ b/src/test/java/caperrudder/policy/TrafficPolicyTest.java
@@ -335,7 +335,7 @@
                 .orElseThrow();
         List<String> all = new ArrayList<>();
         for (String named :
-                policy.replaceAll("[^\"]*\"([^\"]*)\"[^\"]*", "$1 ").trim().split(" ")) {
+                policy.replaceAll("[^\"]*\"([^\"]*)\"[^\"]*", "$1 ").trim().split(" ", 0)) {
             try (Stream<Path> files = Files.walk(Path.of(named))) {
                 for (Path file : files.filter(Files::isRegularFile).toList()) {
                     List<String> lines = Files.readAllLines(file);
--- a/src/test/java/caperrudder/server/DrainControllerTest.java
+++ b/src/test/java/caperrudder/server/DrainControllerTest.java
@@ -31,6 +31,7 @@
     }
 
     /** Until no request goes out any more although many wait. */
+    @SuppressWarnings("ReferenceEquality") // each snapshot is a new object, however equal
     private static void awaitStall(GatewayServer node) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
         MetricsSnapshot last = node.metrics();
--- a/src/test/java/caperrudder/server/Sockets.java
+++ b/src/test/java/caperrudder/server/Sockets.java
@@ -35,7 +35,7 @@
     @SuppressWarnings("ArrayRecordComponent") // never compared
     public record Message(String start, Map<String, String> headers, byte[] body) {
         public int status() {
-            return Integer.parseInt(start.split(" ")[1]);
+            return Integer.parseInt(start.split(" ", -1)[1]);
         }
 
         String header(String name) {
@@ -57,7 +57,7 @@
             }
             head.write(b);
         }
-        String[] lines = head.toString(StandardCharsets.ISO_8859_1).split("\r\n");
+        String[] lines = head.toString(StandardCharsets.ISO_8859_1).split("\r\n", 0);
         Map<String, String> headers = new TreeMap<>();
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
--- a/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
@@ -353,7 +353,7 @@
         ByHand agent = new ByHand();
         kept(old.server);
         kept(agent.server);
-        String mode = way.split(" ")[0];
+        String mode = way.split(" ", -1)[0];
         GatewayServer node = node(old.server, list(41, true, entry("h0", "127.0.0.1:1", "ready")), mode);
         old.answer(old.next(), list(42, false));
         long from = System.nanoTime();
