--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
@@ -38,7 +38,7 @@
 
     /** Whether a host that stands here in the order would be one of the endpoints, or stand in their arc. */
     private boolean contains(int key, String id) {
-        if (endpoints.isEmpty() || arc != null && arc.contains(key)) return true;
+        if (endpoints.isEmpty() || (arc != null && arc.contains(key))) return true;
         Endpoint first = endpoints.get(0);
         Endpoint last = endpoints.get(endpoints.size() - 1);
         boolean fromFirst = order.compare(key, id, first) >= 0;
--- a/src/main/java/caperrudder/policy/loadbalancing/RankedEndpoints.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/RankedEndpoints.java
@@ -34,7 +34,7 @@
         }
 
         private boolean isBefore(int i, int key, String id) {
-            return keys[i] < key || keys[i] == key && endpoints[i].id().compareTo(id) < 0;
+            return keys[i] < key || (keys[i] == key && endpoints[i].id().compareTo(id) < 0);
         }
 
         private boolean holds(int i, int key, String id) {
@@ -191,8 +191,8 @@
         while (low < high) {
             int middle = (low + high + 1) >>> 1;
             boolean startsBefore = firstKeys[middle] < key
-                    || firstKeys[middle] == key
-                            && blocks[middle].endpoints[0].id().compareTo(id) <= 0;
+                    || (firstKeys[middle] == key
+                            && blocks[middle].endpoints[0].id().compareTo(id) <= 0);
             if (startsBefore) low = middle;
             else high = middle - 1;
             visited++;
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -55,7 +55,7 @@
         quota.demand().addOwn(DemandEstimate.perSecond(units));
         boolean excessPays = excessPays(quota.plan());
         boolean limited = quota.hasRate() && !excessPays;
-        if (!excessPays && !concurrencyAdmits(now, quota) || limited && !quota.sharedHolds(units)) {
+        if ((!excessPays && !concurrencyAdmits(now, quota)) || (limited && !quota.sharedHolds(units))) {
             rejections.quotaExhausted(now, quota);
             return AdmissionVerdict.REJECT;
         }
@@ -91,7 +91,7 @@
     }
 
     private boolean hasCapacity(double now, CustomerQuota quota, double units, boolean mayAsk) {
-        if (!mayAsk) return quota.localHolds(units) || metered && quota.meter().admits(now, units);
+        if (!mayAsk) return quota.localHolds(units) || (metered && quota.meter().admits(now, units));
         if (owners.decidesLocally(now, quota)) return true; // the shared bucket is its own, and holds the units
         if (!isReplyFresh(now, quota)) return false;
         return quota.localHolds(units) || quota.sharedHolds(units, reserve(now, quota));
--- a/src/main/java/caperrudder/server/UpstreamAttempt.java
+++ b/src/main/java/caperrudder/server/UpstreamAttempt.java
@@ -105,7 +105,7 @@
     /** Whether what is streamed is a response so long that the client's time is for its first bytes alone. */
     boolean isLong() {
         return streamedBytes > LONG_RESPONSE_BYTES
-                || streamedHead != null && HttpUtil.getContentLength(streamedHead, 0L) > LONG_RESPONSE_BYTES;
+                || (streamedHead != null && HttpUtil.getContentLength(streamedHead, 0L) > LONG_RESPONSE_BYTES);
     }
 
     /** The head of what the host answered, with {@code response} or streamed before; null where nothing came. */
--- a/src/main/java/caperrudder/server/downstream/ClientConnection.java
+++ b/src/main/java/caperrudder/server/downstream/ClientConnection.java
@@ -172,7 +172,7 @@
         if (replies.isStreaming()) {
             return replies.isStalled(nowMs);
         }
-        boolean owesRequest = inbound.isUploading() || !busy && !ended;
+        boolean owesRequest = inbound.isUploading() || (!busy && !ended);
         boolean silent = messages == 0 && !busy && nowMs - idleSinceMs > SILENT_MS;
         return owesRequest && !inbound.isPaused() && (silent || inbound.isOverdue(nowMs));
     }
@@ -367,7 +367,7 @@
 
     /** Whether the connection ends with this response: in a drain only after what was sent ahead, too, has its own. */
     private boolean isLast() {
-        return !keepAlive || context.drain().isClosingConnections() && !inbound.isWaiting();
+        return !keepAlive || (context.drain().isClosingConnections() && !inbound.isWaiting());
     }
 
     /** Writes the end of a response. What still comes of its request is read away: a close would reset it. */
--- a/src/main/java/caperrudder/server/downstream/ConnectionEviction.java
+++ b/src/main/java/caperrudder/server/downstream/ConnectionEviction.java
@@ -11,6 +11,7 @@
  * after all that have stopped. A crowd whose connections come and go must not push out those that bring most of the
  * requests. On the event loop only.
  */
+@SuppressWarnings({"NonApiType", "ReferenceEquality"}) // the order of these sets is what they are for, each is itself
 final class ConnectionEviction {
     private static final double PRESSURE_SHARE = 0.5; // of the connections that fit: then idle ones end early
     private static final double IDLE_MIN_MS = 2200; // idle for so long, a connection may be closed for room
--- a/src/main/java/caperrudder/server/downstream/InboundFlowControl.java
+++ b/src/main/java/caperrudder/server/downstream/InboundFlowControl.java
@@ -66,7 +66,7 @@
     void pause(boolean readAhead) {
         paused = true;
         readsAhead = readAhead;
-        context.channel().config().setAutoRead(cutOff || readsAhead && hasRoom());
+        context.channel().config().setAutoRead(cutOff || (readsAhead && hasRoom()));
     }
 
     void resume() {
@@ -121,7 +121,7 @@
     }
 
     private boolean hasRoom() {
-        return keptBytes < KEPT_MIN_BYTES || keptBytes < KEPT_MAX_BYTES && budget.keepsMore();
+        return keptBytes < KEPT_MIN_BYTES || (keptBytes < KEPT_MAX_BYTES && budget.keepsMore());
     }
 
     private void replay() {
--- a/src/main/java/caperrudder/server/downstream/RequestReader.java
+++ b/src/main/java/caperrudder/server/downstream/RequestReader.java
@@ -117,7 +117,7 @@
         if (sinceMs == NONE) {
             return false;
         }
-        return head == null && streamedBody == null
+        return (head == null && streamedBody == null)
                 ? nowMs - sinceMs > HEAD_MS
                 : nowMs - progressAtMs > BODY_GRACE_MS
                         || nowMs - sinceMs - BODY_GRACE_MS > bodyBytes / BODY_BYTES_PER_MS;
@@ -180,8 +180,8 @@
 
     private static boolean isSupported(HttpRequest request) {
         return request.protocolVersion().equals(HttpVersion.HTTP_1_1)
-                || request.protocolVersion().equals(HttpVersion.HTTP_1_0)
-                        && !HttpUtil.isTransferEncodingChunked(request);
+                || (request.protocolVersion().equals(HttpVersion.HTTP_1_0)
+                        && !HttpUtil.isTransferEncodingChunked(request));
     }
 
     private void addContent(ChannelHandlerContext ctx, HttpContent content) {
--- a/src/main/java/caperrudder/server/upstream/ResponseAssembler.java
+++ b/src/main/java/caperrudder/server/upstream/ResponseAssembler.java
@@ -59,7 +59,7 @@
         head = response;
         long length = HttpUtil.getContentLength(response, -1L);
         if (length > MessageBodies.MAX_BYTES
-                || isInterim() && ++interimResponses > INTERIM_MAX
+                || (isInterim() && ++interimResponses > INTERIM_MAX)
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
             connection.malformed();
         }
