--- a/src/test/java/caperrudder/policy/ColdFleetTest.java
+++ b/src/test/java/caperrudder/policy/ColdFleetTest.java
@@ -139,7 +139,7 @@
         private final Random random;
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-        private final List<FakeGateway> gateways = new ArrayList<>();
+        private final List<PolicyHarness> gateways = new ArrayList<>();
         private final List<FakeHost> hosts = new ArrayList<>();
         private final Map<String, FakeHost> byId = new HashMap<>();
         private final Map<String, Integer> tries = new HashMap<>(); // attempts of each request so far
@@ -195,7 +195,7 @@
                     * site.capacityPerMs()
                     / IntStream.range(0, size).mapToDouble(i -> weight[i]).sum();
             for (int i = 0; i < size; i++) {
-                FakeGateway g = new FakeGateway(
+                PolicyHarness g = new PolicyHarness(
                         now,
                         new Settings(
                                 seed * 1000 + i,
@@ -204,7 +204,7 @@
                                 "a",
                                 false,
                                 List.of(read, order, pay),
-                                List.of(FakeGateway.FREE),
+                                List.of(PolicyHarness.FREE),
                                 site.reports(),
                                 new Limits(6, false, true, false, false, true, 500, 250),
                                 site.rules(),
@@ -223,21 +223,21 @@
             return -Math.log(1 - random.nextDouble());
         }
 
-        private void every(FakeGateway g, double delayMs) {
+        private void every(PolicyHarness g, double delayMs) {
             at(now + delayMs, () -> {
                 act(g, () -> {});
                 every(g, BEAT_MS);
             });
         }
 
-        private void arrive(FakeGateway g, double perMs) {
+        private void arrive(PolicyHarness g, double perMs) {
             at(now + exponential() / perMs, () -> {
                 String id = "r" + asked++;
                 double kind = random.nextDouble();
                 deadlines.put(id, now + site.deadlineMs());
                 act(
                         g,
-                        () -> g.brain.requestReceived(
+                        () -> g.policy.requestReceived(
                                 now,
                                 new Request(
                                         id,
@@ -255,21 +255,21 @@
         }
 
         /** Lets a gateway meet something now, and carries out what it does. */
-        private void act(FakeGateway g, Runnable met) {
-            g.runTo(now);
+        private void act(PolicyHarness g, Runnable met) {
+            g.advanceTo(now);
             met.run();
             while (!g.sent.isEmpty() || !g.cancelled.isEmpty()) {
-                List<FakeGateway.Sent> sent = List.copyOf(g.sent);
+                List<PolicyHarness.SentAttempt> sent = List.copyOf(g.sent);
                 List<String> cancelled = List.copyOf(g.cancelled);
                 g.sent.clear();
                 g.cancelled.clear();
                 sent.forEach(s -> send(g, s));
                 cancelled.forEach(id -> end(g, id, tries.get(id) - 1, "", Outcome.CANCELLED, now, now + NET_MS));
             }
-            g.log.clear();
+            g.actionLog.clear();
         }
 
-        private void send(FakeGateway g, FakeGateway.Sent s) {
+        private void send(PolicyHarness g, PolicyHarness.SentAttempt s) {
             int attempt = tries.merge(s.id(), 1, Integer::sum) - 1;
             out.put(s.id(), attempt);
             FakeHost h = byId.get(s.host());
@@ -293,7 +293,7 @@
         }
 
         private void end(
-                FakeGateway g, String id, int attempt, String host, Outcome outcome, double sentAt, double when) {
+                PolicyHarness g, String id, int attempt, String host, Outcome outcome, double sentAt, double when) {
             at(when, () -> {
                 if (!out.remove(id, attempt)) return;
                 FakeHost h = byId.get(host);
@@ -304,7 +304,7 @@
                         : new double[] {h.holds(now), 0, 0};
                 act(
                         g,
-                        () -> g.brain.attemptEnded(
+                        () -> g.policy.attemptEnded(
                                 now,
                                 new AttemptResult(
                                         id,
@@ -320,7 +320,7 @@
         }
 
         void tell(List<Host> changes, HostListKind kind) {
-            gateways.forEach(g -> act(g, () -> g.brain.hostsUpdated(now, kind, changes)));
+            gateways.forEach(g -> act(g, () -> g.policy.hostsUpdated(now, kind, changes)));
         }
 
         void run(double ms) {
--- a/src/test/java/caperrudder/policy/FleetTest.java
+++ b/src/test/java/caperrudder/policy/FleetTest.java
@@ -22,14 +22,14 @@
     private static final int HOSTS = 60;
     private static final double STEP_MS = 10;
     private static final double ANSWER_MS = 300;
-    private final List<FakeGateway> fleet = new ArrayList<>();
+    private final List<PolicyHarness> fleet = new ArrayList<>();
     private int serial;
 
     /** All gateways at one moment, with the given hosts. */
     private void fleet(double now, List<Host> hosts) {
         for (int i = 0; i < GATEWAYS; i++) {
-            FakeGateway g = new FakeGateway(now, FakeGateway.settings(i, GATEWAYS, 100 + i));
-            g.brain.hostsUpdated(now, HostListKind.FULL, hosts);
+            PolicyHarness g = new PolicyHarness(now, PolicyHarness.settings(i, GATEWAYS, 100 + i));
+            g.policy.hostsUpdated(now, HostListKind.FULL, hosts);
             fleet.add(g);
         }
     }
@@ -50,14 +50,14 @@
         double from = fleet.get(0).now;
         for (double t = STEP_MS; t <= ms; t += STEP_MS) {
             for (int i = 0; i < GATEWAYS; i++) {
-                FakeGateway g = fleet.get(i);
-                g.runTo(from + t);
-                List<FakeGateway.Sent> due = g.sent.stream()
+                PolicyHarness g = fleet.get(i);
+                g.advanceTo(from + t);
+                List<PolicyHarness.SentAttempt> due = g.sent.stream()
                         .filter(s -> s.at() <= g.now - ANSWER_MS && s.at() > g.now - ANSWER_MS - STEP_MS)
                         .toList();
-                due.forEach(s -> g.end(s.id(), 0, Outcome.OK, ANSWER_MS));
+                due.forEach(s -> g.endAttempt(s.id(), 0, Outcome.OK, ANSWER_MS));
                 if ((t + i * STEP_MS) % gapMs < STEP_MS) {
-                    g.ask("r" + serial++, "read");
+                    g.request("r" + serial++, "read");
                 }
             }
         }
@@ -87,7 +87,7 @@
         assertTrue(share > 0.8 * byCapacity && share < 1.2 * byCapacity, "cold hosts took " + share);
     }
 
-    private static final double QUOTA = FakeGateway.SMALL.unitsPerSecond();
+    private static final double QUOTA = PolicyHarness.SMALL.unitsPerSecond();
 
     /**
      * Units of customer 42 let in over so many seconds, where each of the gateways is asked for one every so often
@@ -96,25 +96,25 @@
     private double metered(int seconds, double gapMs) {
         double now = 100_000;
         for (int i = 0; i < GATEWAYS; i++) {
-            FakeGateway g = new FakeGateway(now, FakeGateway.metered(i, GATEWAYS, 100 + i));
-            g.brain.hostsUpdated(now, HostListKind.FULL, hosts(IntStream.range(0, HOSTS), 0));
+            PolicyHarness g = new PolicyHarness(now, PolicyHarness.metered(i, GATEWAYS, 100 + i));
+            g.policy.hostsUpdated(now, HostListKind.FULL, hosts(IntStream.range(0, HOSTS), 0));
             fleet.add(g);
         }
         double[] used = new double[seconds + 2];
         for (double t = STEP_MS; t <= seconds * 1000; t += STEP_MS) {
             int second = (int) (t / 1000);
             for (int i = 0; i < GATEWAYS; i++) {
-                FakeGateway g = fleet.get(i);
-                g.runTo(now + t);
-                for (FakeGateway.Sent s : List.copyOf(g.sent)) {
+                PolicyHarness g = fleet.get(i);
+                g.advanceTo(now + t);
+                for (PolicyHarness.SentAttempt s : List.copyOf(g.sent)) {
                     if (s.at() <= g.now - ANSWER_MS && s.at() > g.now - ANSWER_MS - STEP_MS) {
                         double told = second < 2 ? 0 : used[second - 2];
-                        g.end(s.id(), 0, Outcome.OK, ANSWER_MS, 1 + (int) (100 * told / QUOTA));
+                        g.endAttempt(s.id(), 0, Outcome.OK, ANSWER_MS, 1 + (int) (100 * told / QUOTA));
                     }
                 }
                 if ((t + i * gapMs / GATEWAYS) % gapMs < STEP_MS) {
                     int before = g.sent.size();
-                    g.ask("q" + serial++, "read", "small", 42, 1, GATEWAYS);
+                    g.request("q" + serial++, "read", "small", 42, 1, GATEWAYS);
                     used[second] += g.sent.size() - before;
                 }
             }
@@ -125,13 +125,13 @@
     @Test
     void aFullStoreServesABurstAtOneGatewayOfMany() {
         // zone+vast: 34 of 100 tries were refused with half of the quota unused, most of them never metered
-        FakeGateway g = new FakeGateway(1000, FakeGateway.metered(3, GATEWAYS, 7)).withHosts("a1", "a2");
+        PolicyHarness g = new PolicyHarness(1000, PolicyHarness.metered(3, GATEWAYS, 7)).withHosts("a1", "a2");
         for (int i = 0; i < 5; i++) {
-            g.ask("q" + i, "read", "small", 42, 2, GATEWAYS);
+            g.request("q" + i, "read", "small", 42, 2, GATEWAYS);
         }
-        assertEquals(List.of(), g.refused);
-        g.ask("more", "read", "small", 42, 4, GATEWAYS); // ten of twelve are gone
-        assertEquals(List.of("more"), g.refused);
+        assertEquals(List.of(), g.rejected);
+        g.request("more", "read", "small", 42, 4, GATEWAYS); // ten of twelve are gone
+        assertEquals(List.of("more"), g.rejected);
     }
 
     @Test
@@ -143,14 +143,14 @@
     @Test
     void aCustomerFarBeyondItsQuotaIsHeldByTheMeter() {
         double letIn = metered(20, 700); // five times the quota, the most that a customer asks in a spell
-        double quota = 20 * QUOTA + FakeGateway.SMALL.burstUnits();
+        double quota = 20 * QUOTA + PolicyHarness.SMALL.burstUnits();
         double asked = 20 * GATEWAYS / 0.7;
         assertTrue(letIn > 0.9 * quota && letIn < 0.55 * asked, letIn + " of " + asked + " in a quota of " + quota);
     }
 
     @Test
     void withoutAMeterNobodyLetsInTheWholeStore() {
-        Settings s = FakeGateway.metered(3, GATEWAYS, 7);
+        Settings s = PolicyHarness.metered(3, GATEWAYS, 7);
         Settings blind = new Settings(
                 7,
                 3,
@@ -163,28 +163,28 @@
                 s.limits(),
                 s.rules(),
                 new Sharing(false, 0, 0, false, 4, 0, 0, 0, 0));
-        FakeGateway g = new FakeGateway(1000, blind).withHosts("a1", "a2");
+        PolicyHarness g = new PolicyHarness(1000, blind).withHosts("a1", "a2");
         for (int i = 0; i < 5; i++) {
-            g.ask("q" + i, "read", "small", 42, 2, GATEWAYS);
+            g.request("q" + i, "read", "small", 42, 2, GATEWAYS);
         }
-        assertEquals(3, g.refused.size());
+        assertEquals(3, g.rejected.size());
     }
 
     /** The share of cold hosts, at 0.6 and more of what they can do, where each answer tells what its host holds. */
     private double coldShare(double warmHolds, double coldHolds) {
-        FakeGateway g = new FakeGateway(100_000, FakeGateway.metered(3, GATEWAYS, 9));
-        g.brain.hostsUpdated(
+        PolicyHarness g = new PolicyHarness(100_000, PolicyHarness.metered(3, GATEWAYS, 9));
+        g.policy.hostsUpdated(
                 g.now,
                 HostListKind.FULL,
                 joined(hosts(IntStream.range(0, 24), 0), hosts(IntStream.range(24, HOSTS), g.now - 5000)));
         int cold = 0;
         for (int i = 0; i < 400; i++) {
             String id = "r" + serial++;
-            g.ask(id, "read");
-            boolean isCold = Integer.parseInt(g.hostOf(id).substring(1)) >= 24;
+            g.request(id, "read");
+            boolean isCold = Integer.parseInt(g.lastHostOf(id).substring(1)) >= 24;
             cold += isCold && i >= 100 ? 1 : 0;
-            g.end(id, 0, Outcome.OK, ANSWER_MS, 0, 0.5, isCold ? coldHolds : warmHolds);
-            g.pass(5);
+            g.endAttempt(id, 0, Outcome.OK, ANSWER_MS, 0, 0.5, isCold ? coldHolds : warmHolds);
+            g.advance(5);
         }
         return cold / 300.0;
     }
@@ -205,17 +205,17 @@
         int sentThere = 0;
         int all = 0;
         for (int round = 0; round < 80; round++) {
-            for (FakeGateway g : fleet) {
+            for (PolicyHarness g : fleet) {
                 String id = "r" + serial++;
-                g.ask(id, round % 2 == 0 ? "read" : "order");
-                boolean bad = g.hostOf(id).matches("h[0-8]");
+                g.request(id, round % 2 == 0 ? "read" : "order");
+                boolean bad = g.lastHostOf(id).matches("h[0-8]");
                 boolean fails = bad && serial % 10 < 7;
                 if (round >= 40) {
                     sentThere += bad ? 1 : 0;
                     all++;
                 }
-                g.end(id, 0, fails ? Outcome.ERROR : Outcome.OK, fails ? 3 : ANSWER_MS);
-                g.pass(25);
+                g.endAttempt(id, 0, fails ? Outcome.ERROR : Outcome.OK, fails ? 3 : ANSWER_MS);
+                g.advance(25);
             }
         }
         assertTrue(sentThere < 0.35 * all * 9 / HOSTS, sentThere + " of " + all);
--- a/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
@@ -308,14 +308,14 @@
 
     /** The policies, and how far the actions of each have been carried out. */
     private final class Fleet implements Gateways {
-        private final List<FakeGateway> harnesses = new ArrayList<>();
+        private final List<PolicyHarness> harnesses = new ArrayList<>();
         private final int[] sent = new int[gateways];
         private final int[] rejected = new int[gateways];
         private final int[] failed = new int[gateways];
         private final int[] cancelled = new int[gateways];
 
         Fleet(List<Plan> plans, double maxUnits, long seed) {
-            Settings s = FakeGateway.metered(0, gateways, seed);
+            Settings s = PolicyHarness.metered(0, gateways, seed);
             String[] names = IntStream.range(0, load.hosts())
                     .mapToObj(LoadedQuotaSimulation::hostName)
                     .toArray(String[]::new);
@@ -332,15 +332,15 @@
                         s.limits(),
                         s.rules(),
                         new Sharing(false, 0, QuotaSimulation.PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
-                harnesses.add(new FakeGateway(0, own).withHosts(names));
+                harnesses.add(new PolicyHarness(0, own).withHosts(names));
             }
         }
 
         @Override
         public void requestArrived(double time, Client client) {
-            FakeGateway harness = runTo(client.gateway, time);
+            PolicyHarness harness = runTo(client.gateway, time);
             QuotaSimulation.ClientRequest t = client.first;
-            harness.brain.requestReceived(
+            harness.policy.requestReceived(
                     time,
                     new Request(
                             client.id,
@@ -362,13 +362,13 @@
         }
 
         private void end(Client client, Outcome outcome, double latencyMs, int usedPercent) {
-            FakeGateway harness = runTo(client.gateway, now);
-            harness.brain.attemptEnded(
+            PolicyHarness harness = runTo(client.gateway, now);
+            harness.policy.attemptEnded(
                     now,
                     new AttemptResult(
                             client.id,
                             client.attempts - 1,
-                            harness.hostOf(client.id),
+                            harness.lastHostOf(client.id),
                             outcome,
                             latencyMs,
                             outcome == Outcome.OK,
@@ -380,8 +380,8 @@
 
         @Override
         public void clientGaveUp(double time, Client client) {
-            FakeGateway harness = runTo(client.gateway, time);
-            harness.brain.clientDisconnected(time, client.id);
+            PolicyHarness harness = runTo(client.gateway, time);
+            harness.policy.clientDisconnected(time, client.id);
             carryOut(client.gateway);
         }
 
@@ -393,21 +393,21 @@
             }
         }
 
-        private FakeGateway runTo(int gateway, double time) {
-            FakeGateway harness = harnesses.get(gateway);
-            harness.runTo(time);
+        private PolicyHarness runTo(int gateway, double time) {
+            PolicyHarness harness = harnesses.get(gateway);
+            harness.advanceTo(time);
             return harness;
         }
 
         private void carryOut(int gateway) {
-            FakeGateway harness = harnesses.get(gateway);
+            PolicyHarness harness = harnesses.get(gateway);
             while (sent[gateway] < harness.sent.size()) {
-                FakeGateway.Sent next = harness.sent.get(sent[gateway]++);
+                PolicyHarness.SentAttempt next = harness.sent.get(sent[gateway]++);
                 send(out.get(next.id()), hostNumber(next.host()));
             }
-            while (rejected[gateway] < harness.refused.size()) {
+            while (rejected[gateway] < harness.rejected.size()) {
                 int next = rejected[gateway]++;
-                reject(out.get(harness.refused.get(next)), harness.retryAfter.get(next));
+                reject(out.get(harness.rejected.get(next)), harness.retryAfter.get(next));
             }
             while (failed[gateway] < harness.failed.size()) {
                 fail(out.get(harness.failed.get(failed[gateway]++)));
--- a/src/test/java/caperrudder/policy/MeteredFleetTest.java
+++ b/src/test/java/caperrudder/policy/MeteredFleetTest.java
@@ -134,8 +134,8 @@
     }
 
     private static Outcomes playFleet(long seed, List<ClientRequest> requests, List<Plan> plans) {
-        Settings s = FakeGateway.metered(0, GATEWAYS, seed);
-        List<FakeGateway> fleet = new ArrayList<>();
+        Settings s = PolicyHarness.metered(0, GATEWAYS, seed);
+        List<PolicyHarness> fleet = new ArrayList<>();
         String[] hosts = IntStream.range(0, HOSTS).mapToObj(h -> "a" + h).toArray(String[]::new);
         for (int i = 0; i < GATEWAYS; i++) {
             Settings own = new Settings(
@@ -150,7 +150,7 @@
                     s.limits(),
                     s.rules(),
                     new Sharing(false, 0, PERIOD_MS, false, 1, 0, 0, 0, 0));
-            fleet.add(new FakeGateway(0, own).withHosts(hosts));
+            fleet.add(new PolicyHarness(0, own).withHosts(hosts));
         }
         Outcomes outcomes = new Outcomes();
         outcomes.value = value(requests);
@@ -162,14 +162,15 @@
         for (ClientRequest t : requests) {
             for (; !answers.isEmpty() && answers.peek().at() + RESPONSE_MS <= t.at(); answers.poll()) {
                 ClientRequest of = answers.peek();
-                FakeGateway g = fleet.get(of.gateway());
-                g.runTo(of.at() + RESPONSE_MS);
-                g.end(ids.get(of), 0, Outcome.OK, RESPONSE_MS, metered(uses.get(of.customer()), of.plan(), g.now));
+                PolicyHarness g = fleet.get(of.gateway());
+                g.advanceTo(of.at() + RESPONSE_MS);
+                g.endAttempt(
+                        ids.get(of), 0, Outcome.OK, RESPONSE_MS, metered(uses.get(of.customer()), of.plan(), g.now));
             }
-            FakeGateway g = fleet.get(t.gateway());
-            g.runTo(t.at());
+            PolicyHarness g = fleet.get(t.gateway());
+            g.advanceTo(t.at());
             String id = "t" + serial++;
-            g.brain.requestReceived(
+            g.policy.requestReceived(
                     t.at(),
                     new Request(
                             id,
@@ -182,7 +183,7 @@
                             1,
                             0,
                             GATEWAYS));
-            boolean in = g.sends(id) > 0;
+            boolean in = g.attemptsOf(id) > 0;
             count(outcomes, stores.computeIfAbsent(t.customer(), c -> new ActualBucket(t.plan())), t, in);
             if (in) {
                 uses.computeIfAbsent(t.customer(), c -> new ArrayList<>()).add(t.at());
--- a/src/test/java/caperrudder/policy/FakeGateway.java
+++ b/src/test/java/caperrudder/policy/PolicyHarness.java
@@ -24,8 +24,8 @@
 import java.util.Objects;
 import java.util.PriorityQueue;
 
-/** A clock and a notebook: plays events into one Brain and keeps what it does. */
-public final class FakeGateway implements PolicyActions {
+/** One policy with a simulated clock and timers: plays events to it and records its actions. */
+public final class PolicyHarness implements PolicyActions {
     static final RequestClass READ =
             new RequestClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1000, 3000, 1, 0, false);
     static final RequestClass PAY =
@@ -37,31 +37,31 @@
     static final Plan OPEN = new Plan("open", 0, 0, 2, 1, 0, 1, 0, 0, 0);
     static final Plan FREE = new Plan("free", 1e6, 1e6, 0, 1, 0, 1, 0, 0, 0);
 
-    record Sent(double at, String id, String host) {}
+    record SentAttempt(double at, String id, String host) {}
 
     @SuppressWarnings("ArrayRecordComponent") // never compared
-    record Told(int peer, byte[] data) {}
+    record SentMessage(int peer, byte[] data) {}
 
     private record Timer(double at, int order, String token) {}
 
-    final List<Sent> sent = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
-    final List<Double> retryAfter = new ArrayList<>(); // of each refused
+    final List<SentAttempt> sent = new ArrayList<>();
+    final List<String> rejected = new ArrayList<>();
+    final List<Double> retryAfter = new ArrayList<>(); // of each rejected
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    final List<String> probed = new ArrayList<>();
-    final List<Told> told = new ArrayList<>();
-    final List<String> log = new ArrayList<>();
-    final TrafficPolicy brain = new TrafficPolicy(this);
+    final List<String> healthChecks = new ArrayList<>();
+    final List<SentMessage> peerMessages = new ArrayList<>();
+    final List<String> actionLog = new ArrayList<>();
+    final TrafficPolicy policy = new TrafficPolicy(this);
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingInt(Timer::order));
     private final Map<String, String> lastHost = new HashMap<>();
     private int order;
     double now;
 
-    public FakeGateway(double now, Settings settings) {
+    public PolicyHarness(double now, Settings settings) {
         this.now = now;
-        brain.start(now, settings);
+        policy.start(now, settings);
     }
 
     public static Settings settings(int me, int gateways) {
@@ -101,103 +101,103 @@
     }
 
     public LoadBalancer loadBalancer() {
-        return brain.loadBalancer();
+        return policy.loadBalancer();
     }
 
-    public static FakeGateway alone() {
-        return new FakeGateway(1000, settings(0, 1));
+    public static PolicyHarness single() {
+        return new PolicyHarness(1000, settings(0, 1));
     }
 
     public static Host host(String id, String zone) {
         return new Host(id, zone, "std", 0, HostState.RUNNING, 1, 0);
     }
 
-    FakeGateway withHosts(String... ids) {
+    PolicyHarness withHosts(String... ids) {
         List<Host> hosts = new ArrayList<>();
         for (String id : ids) {
             hosts.add(host(id, id.substring(0, 1)));
         }
-        brain.hostsUpdated(now, HostListKind.FULL, hosts);
+        policy.hostsUpdated(now, HostListKind.FULL, hosts);
         return this;
     }
 
-    void ask(String id, String cls, String plan, long customer, double units, int spread) {
-        brain.requestReceived(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
+    void request(String id, String cls, String plan, long customer, double units, int spread) {
+        policy.requestReceived(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
     }
 
-    public void ask(String id, String cls) {
-        ask(id, cls, "free", 1, 1, 1);
+    public void request(String id, String cls) {
+        request(id, cls, "free", 1, 1, 1);
     }
 
-    public void end(String id, int attempt, Outcome outcome, double latency) {
-        end(id, attempt, outcome, latency, 0);
+    public void endAttempt(String id, int attempt, Outcome outcome, double latency) {
+        endAttempt(id, attempt, outcome, latency, 0);
     }
 
-    void end(String id, int attempt, Outcome outcome, double latency, int usedPct, double... report) {
-        brain.attemptEnded(
+    void endAttempt(String id, int attempt, Outcome outcome, double latency, int usedPct, double... report) {
+        policy.attemptEnded(
                 now,
                 new AttemptResult(
-                        id, attempt, hostOf(id), outcome, latency, outcome == Outcome.OK, usedPct, 0, report));
+                        id, attempt, lastHostOf(id), outcome, latency, outcome == Outcome.OK, usedPct, 0, report));
     }
 
-    public String hostOf(String id) {
+    public String lastHostOf(String id) {
         return Objects.requireNonNull(lastHost.get(id));
     }
 
-    public long sends(String id) {
+    public long attemptsOf(String id) {
         return sent.stream().filter(s -> s.id().equals(id)).count();
     }
 
-    long answers(String id) {
-        return refused.stream().filter(id::equals).count()
+    long finalAnswersTo(String id) {
+        return rejected.stream().filter(id::equals).count()
                 + failed.stream().filter(id::equals).count();
     }
 
-    void runTo(double end) {
+    void advanceTo(double end) {
         while (!timers.isEmpty() && timers.peek().at() <= end) {
             Timer t = timers.poll();
             now = Math.max(now, t.at());
-            brain.timerFired(now, t.token());
+            policy.timerFired(now, t.token());
         }
         now = end;
     }
 
     public void hostsUpdated(HostListKind kind, List<Host> hosts) {
-        brain.hostsUpdated(now, kind, hosts);
+        policy.hostsUpdated(now, kind, hosts);
     }
 
     public double now() {
         return now;
     }
 
-    public void pass(double ms) {
-        runTo(now + ms);
+    public void advance(double ms) {
+        advanceTo(now + ms);
     }
 
     @Override
     public void sendAttempt(String id, String host, double timeoutMs) {
-        sent.add(new Sent(now, id, host));
+        sent.add(new SentAttempt(now, id, host));
         lastHost.put(id, host);
-        log.add(now + " send " + id + " " + host);
+        actionLog.add(now + " send " + id + " " + host);
     }
 
     @Override
     public void cancelAttempt(String id, int attempt) {
         cancelled.add(id);
-        log.add(now + " cancel " + id + " " + attempt);
+        actionLog.add(now + " cancel " + id + " " + attempt);
     }
 
     @Override
     public void reject(String id, double retryAfterMs) {
-        refused.add(id);
+        rejected.add(id);
         retryAfter.add(retryAfterMs);
-        log.add(now + " refuse " + id + " " + retryAfterMs);
+        actionLog.add(now + " refuse " + id + " " + retryAfterMs);
     }
 
     @Override
     public void fail(String id) {
         failed.add(id);
-        log.add(now + " fail " + id);
+        actionLog.add(now + " fail " + id);
     }
 
     @Override
@@ -207,23 +207,23 @@
 
     @Override
     public void startHealthCheck(String host) {
-        probed.add(host);
-        log.add(now + " probe " + host);
+        healthChecks.add(host);
+        actionLog.add(now + " probe " + host);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        told.add(new Told(peer, data));
-        log.add(now + " tell " + peer + " " + data.length);
+        peerMessages.add(new SentMessage(peer, data));
+        actionLog.add(now + " tell " + peer + " " + data.length);
     }
 
     @Override
     public void addToCounter(String counter, double amount, double lifetimeMs) {
-        log.add(now + " count " + counter);
+        actionLog.add(now + " count " + counter);
     }
 
     @Override
     public void subscribeToHosts() {
-        log.add(now + " watch");
+        actionLog.add(now + " watch");
     }
 }
--- a/src/test/java/caperrudder/policy/PolicyRulesTest.java
+++ b/src/test/java/caperrudder/policy/PolicyRulesTest.java
@@ -20,88 +20,88 @@
 class PolicyRulesTest {
     @Test
     void withoutHostsRequestWaitsAndIsRejectedInTime() {
-        FakeGateway g = FakeGateway.alone();
-        g.ask("r", "pay");
-        assertEquals(0, g.answers("r"));
-        g.pass(2999);
-        assertEquals(1, g.answers("r"));
-        assertEquals(List.of("r"), g.refused);
+        PolicyHarness g = PolicyHarness.single();
+        g.request("r", "pay");
+        assertEquals(0, g.finalAnswersTo("r"));
+        g.advance(2999);
+        assertEquals(1, g.finalAnswersTo("r"));
+        assertEquals(List.of("r"), g.rejected);
     }
 
     @Test
     void requestWithNoTimeLeftIsAnsweredAtOnce() {
         // port-louis rules-3: a late retry was held until the next beat, after its deadline
-        FakeGateway g = FakeGateway.alone();
-        g.brain.requestReceived(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
-        assertEquals(1, g.answers("r"));
+        PolicyHarness g = PolicyHarness.single();
+        g.policy.requestReceived(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
+        assertEquals(1, g.finalAnswersTo("r"));
     }
 
     @Test
     void timeoutAtTheDeadlineIsAnswered() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1");
-        g.ask("r", "read");
-        g.ask("p", "pay");
-        g.pass(3000);
-        g.end("r", 0, Outcome.TIMEOUT, 3000);
-        g.end("p", 0, Outcome.TIMEOUT, 3000);
-        assertEquals(1, g.answers("r"));
+        PolicyHarness g = PolicyHarness.single().withHosts("a1");
+        g.request("r", "read");
+        g.request("p", "pay");
+        g.advance(3000);
+        g.endAttempt("r", 0, Outcome.TIMEOUT, 3000);
+        g.endAttempt("p", 0, Outcome.TIMEOUT, 3000);
+        assertEquals(1, g.finalAnswersTo("r"));
         assertEquals(List.of("p"), g.failed);
-        assertEquals(1, g.sends("p"));
+        assertEquals(1, g.attemptsOf("p"));
     }
 
     @Test
     void nothingIsSentAfterTheClientDisconnected() {
-        FakeGateway g = FakeGateway.alone();
-        g.ask("r", "read");
-        g.brain.clientDisconnected(g.now, "r");
+        PolicyHarness g = PolicyHarness.single();
+        g.request("r", "read");
+        g.policy.clientDisconnected(g.now, "r");
         g.withHosts("a1");
-        g.pass(3000);
-        assertEquals(0, g.sends("r"));
-        assertEquals(0, g.answers("r"));
+        g.advance(3000);
+        assertEquals(0, g.attemptsOf("r"));
+        assertEquals(0, g.finalAnswersTo("r"));
     }
 
     /** While its keeper has been asked, and while it waits for a further attempt. */
     @Test
     void nothingIsSentForADisconnectedClientWhileAnOwnerOrAHostIsAwaited() {
         for (boolean left : List.of(false, true)) {
-            FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 2)).withHosts("a1");
+            PolicyHarness g = new PolicyHarness(1000, PolicyHarness.settings(0, 2)).withHosts("a1");
             for (int i = 0; i < 20; i++) { // of some of these customers the other gateway keeps the books
-                g.ask("r" + i, "read", "small", i, 10, 2);
+                g.request("r" + i, "read", "small", i, 10, 2);
             }
             List<String> asked = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                if (g.sends("r" + i) == 0 && g.answers("r" + i) == 0) {
+                if (g.attemptsOf("r" + i) == 0 && g.finalAnswersTo("r" + i) == 0) {
                     asked.add("r" + i);
                 }
             }
             assertFalse(asked.isEmpty());
             if (left) {
-                asked.forEach(id -> g.brain.clientDisconnected(g.now, id));
+                asked.forEach(id -> g.policy.clientDisconnected(g.now, id));
             }
-            g.pass(2000); // no keeper answers: the own part decides
-            assertEquals(left, asked.stream().allMatch(id -> g.sends(id) == 0 && g.answers(id) == 0));
-            FakeGateway h = FakeGateway.alone().withHosts("a1");
-            h.ask("p", "read");
-            h.brain.hostsUpdated(
+            g.advance(2000); // no keeper answers: the own part decides
+            assertEquals(left, asked.stream().allMatch(id -> g.attemptsOf(id) == 0 && g.finalAnswersTo(id) == 0));
+            PolicyHarness h = PolicyHarness.single().withHosts("a1");
+            h.request("p", "read");
+            h.policy.hostsUpdated(
                     h.now, HostListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, HostState.DRAINING, 1, 0)));
-            h.end("p", 0, Outcome.REJECTED, 10);
-            assertEquals(1, h.sends("p"));
+            h.endAttempt("p", 0, Outcome.REJECTED, 10);
+            assertEquals(1, h.attemptsOf("p"));
             if (left) {
-                h.brain.clientDisconnected(h.now, "p");
+                h.policy.clientDisconnected(h.now, "p");
             }
-            h.withHosts("a2").pass(2000);
-            assertEquals(left ? 1 : 2, h.sends("p"));
+            h.withHosts("a2").advance(2000);
+            assertEquals(left ? 1 : 2, h.attemptsOf("p"));
         }
     }
 
     @Test
     void nonIdempotentRequestIsNeverRetriedOnceItMayHaveRun() {
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)) {
-            FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.ask("p", "pay");
-            g.end("p", 0, outcome, 10);
-            g.pass(500);
-            assertEquals(1, g.sends("p"), outcome.name());
+            PolicyHarness g = PolicyHarness.single().withHosts("a1", "b1");
+            g.request("p", "pay");
+            g.endAttempt("p", 0, outcome, 10);
+            g.advance(500);
+            assertEquals(1, g.attemptsOf("p"), outcome.name());
             assertEquals(List.of("p"), g.failed, outcome.name());
         }
     }
@@ -109,26 +109,26 @@
     @Test
     void requestThatNeverRanIsRetriedElsewhere() {
         for (Outcome outcome : List.of(Outcome.REJECTED, Outcome.CONNECT_FAILED)) {
-            FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.ask("p", "pay");
-            String first = g.hostOf("p");
-            g.end("p", 0, outcome, 10);
-            assertEquals(2, g.sends("p"));
-            assertNotEquals(first, g.hostOf("p"));
+            PolicyHarness g = PolicyHarness.single().withHosts("a1", "b1");
+            g.request("p", "pay");
+            String first = g.lastHostOf("p");
+            g.endAttempt("p", 0, outcome, 10);
+            assertEquals(2, g.attemptsOf("p"));
+            assertNotEquals(first, g.lastHostOf("p"));
         }
     }
 
     @Test
     void retryWithIdempotencyKeyStaysInItsScopeAndWindow() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "b1", "b2");
-        g.ask("o", "order");
-        String zone = g.hostOf("o").substring(0, 1);
-        g.end("o", 0, Outcome.RESET, 10);
-        assertEquals(2, g.sends("o"));
-        assertEquals(zone, g.hostOf("o").substring(0, 1));
-        g.pass(1001);
-        g.end("o", 1, Outcome.RESET, 1001);
-        assertEquals(2, g.sends("o"));
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2", "b1", "b2");
+        g.request("o", "order");
+        String zone = g.lastHostOf("o").substring(0, 1);
+        g.endAttempt("o", 0, Outcome.RESET, 10);
+        assertEquals(2, g.attemptsOf("o"));
+        assertEquals(zone, g.lastHostOf("o").substring(0, 1));
+        g.advance(1001);
+        g.endAttempt("o", 1, Outcome.RESET, 1001);
+        assertEquals(2, g.attemptsOf("o"));
         assertEquals(List.of("o"), g.failed);
     }
 
@@ -136,11 +136,11 @@
     @Test
     void retryWithIdempotencyKeyArrivesWithinItsWindowOnALateConnection() {
         for (boolean late : List.of(false, true)) { // by the window of 1000 ms and a connect time-out of 250
-            FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
-            g.ask("o", "order");
-            g.pass(late ? 700 : 600);
-            g.end("o", 0, Outcome.RESET, 10);
-            assertEquals(late ? 1 : 2, g.sends("o"));
+            PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2");
+            g.request("o", "order");
+            g.advance(late ? 700 : 600);
+            g.endAttempt("o", 0, Outcome.RESET, 10);
+            assertEquals(late ? 1 : 2, g.attemptsOf("o"));
             assertEquals(late ? List.of("o") : List.of(), g.failed);
         }
     }
@@ -148,25 +148,25 @@
     @Test
     void drainingAndGoneHostsGetNoAttempts() {
         for (HostState state : List.of(HostState.DRAINING, HostState.GONE)) {
-            FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
+            PolicyHarness g = PolicyHarness.single().withHosts("a1", "b1");
+            g.policy.hostsUpdated(g.now, HostListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
             for (int i = 0; i < 6; i++) {
-                g.ask("r" + i, "read");
+                g.request("r" + i, "read");
             }
             assertTrue(g.sent.stream().allMatch(s -> s.host().equals("b1")) && !g.sent.isEmpty());
         }
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "b1").withHosts("b1");
-        g.ask("r", "read");
-        assertEquals("b1", g.hostOf("r"));
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "b1").withHosts("b1");
+        g.request("r", "read");
+        assertEquals("b1", g.lastHostOf("r"));
     }
 
     @Test
     void hostInSlowStartGetsAShareOfWhatWarmOnesGet() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "b1");
         for (int i = 0; i < 100; i++) {
             requestEvery20Ms(g, i);
         }
-        g.brain.hostsUpdated(
+        g.policy.hostsUpdated(
                 g.now, HostListKind.CHANGES, List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
         int before = g.sent.size();
         for (int i = 100; i < 150; i++) {
@@ -179,11 +179,11 @@
     }
 
     /** One request each 20 ms, answered after 160 ms, so that eight are out at a time. */
-    private static void requestEvery20Ms(FakeGateway g, int i) {
-        g.ask("w" + i, "read");
-        g.pass(20);
+    private static void requestEvery20Ms(PolicyHarness g, int i) {
+        g.request("w" + i, "read");
+        g.advance(20);
         if (i >= 8) {
-            g.end("w" + (i - 8), 0, Outcome.OK, 160);
+            g.endAttempt("w" + (i - 8), 0, Outcome.OK, 160);
         }
     }
 
@@ -192,10 +192,10 @@
         int me = RendezvousHash.rank(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
         double spent = 0;
         for (int life = 0; life < 4; life++) {
-            FakeGateway g = new FakeGateway(1000 + life * 500, FakeGateway.settings(me, 2)).withHosts("a1", "a2");
+            PolicyHarness g = new PolicyHarness(1000 + life * 500, PolicyHarness.settings(me, 2)).withHosts("a1", "a2");
             for (int i = 0; i < 25; i++) {
-                g.ask("r" + life + "-" + i, "read", "capped", 9, 1, 2);
-                g.pass(20);
+                g.request("r" + life + "-" + i, "read", "capped", 9, 1, 2);
+                g.advance(20);
             }
             spent += g.sent.size();
         }
@@ -205,17 +205,17 @@
 
     @Test
     void eventsForUnknownRequestsAreIgnored() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1");
-        g.brain.attemptEnded(g.now, new AttemptResult("x", 0, "a1", Outcome.OK, 1, true, 0, 0, new double[0]));
-        g.brain.clientDisconnected(g.now, "x");
-        g.brain.timerFired(g.now, "x");
-        g.brain.healthCheckEnded(g.now, "x", Outcome.OK, 1, new double[0]);
-        g.brain.responseStarted(g.now, "x", 0);
-        g.brain.peerMessageReceived(g.now, 5, new byte[] {1});
-        g.ask("r", "read");
-        g.end("r", 7, Outcome.OK, 1);
-        g.end("r", 0, Outcome.OK, 1);
-        g.end("r", 0, Outcome.OK, 1);
-        assertTrue(g.failed.isEmpty() && g.refused.isEmpty() && g.sent.size() == 1);
+        PolicyHarness g = PolicyHarness.single().withHosts("a1");
+        g.policy.attemptEnded(g.now, new AttemptResult("x", 0, "a1", Outcome.OK, 1, true, 0, 0, new double[0]));
+        g.policy.clientDisconnected(g.now, "x");
+        g.policy.timerFired(g.now, "x");
+        g.policy.healthCheckEnded(g.now, "x", Outcome.OK, 1, new double[0]);
+        g.policy.responseStarted(g.now, "x", 0);
+        g.policy.peerMessageReceived(g.now, 5, new byte[] {1});
+        g.request("r", "read");
+        g.endAttempt("r", 7, Outcome.OK, 1);
+        g.endAttempt("r", 0, Outcome.OK, 1);
+        g.endAttempt("r", 0, Outcome.OK, 1);
+        assertTrue(g.failed.isEmpty() && g.rejected.isEmpty() && g.sent.size() == 1);
     }
 }
--- a/src/test/java/caperrudder/policy/QuotaSharingTest.java
+++ b/src/test/java/caperrudder/policy/QuotaSharingTest.java
@@ -25,7 +25,7 @@
 
 /** Admission by demand shares, messages between gateways, and the handing over of ceiling units. */
 class QuotaSharingTest {
-    private final List<FakeGateway> gateways = new ArrayList<>();
+    private final List<PolicyHarness> gateways = new ArrayList<>();
     private int serial;
     private final Set<String> answered = new HashSet<>();
     private double admittedUnits;
@@ -35,34 +35,34 @@
 
     private void startGateways(int count) {
         for (int i = 0; i < count; i++) {
-            gateways.add(new FakeGateway(1000, FakeGateway.settings(i, count)).withHosts("a1", "a2", "a3"));
+            gateways.add(new PolicyHarness(1000, PolicyHarness.settings(i, count)).withHosts("a1", "a2", "a3"));
         }
     }
 
     /** Delivers messages with a tick's delay and serves what was sent. */
     private void advance(double ms) {
         for (double end = gateways.get(0).now + ms; gateways.get(0).now < end; ) {
-            for (FakeGateway g : gateways) {
-                g.pass(10);
+            for (PolicyHarness g : gateways) {
+                g.advance(10);
             }
             for (int from = 0; from < gateways.size(); from++) {
-                List<FakeGateway.Told> told = List.copyOf(gateways.get(from).told);
-                gateways.get(from).told.clear();
-                for (FakeGateway.Told t : told) {
+                List<PolicyHarness.SentMessage> told = List.copyOf(gateways.get(from).peerMessages);
+                gateways.get(from).peerMessages.clear();
+                for (PolicyHarness.SentMessage t : told) {
                     serial++;
                     if (partitioned || (dropsMessages && serial % 4 == 0)) {
                         continue;
                     }
                     for (int copy = 0; copy < (duplicatesMessages ? 2 : 1); copy++) {
-                        gateways.get(t.peer()).brain.peerMessageReceived(gateways.get(t.peer()).now, from, t.data());
+                        gateways.get(t.peer()).policy.peerMessageReceived(gateways.get(t.peer()).now, from, t.data());
                     }
                 }
             }
-            for (FakeGateway g : gateways) {
-                for (FakeGateway.Sent s : List.copyOf(g.sent)) {
+            for (PolicyHarness g : gateways) {
+                for (PolicyHarness.SentAttempt s : List.copyOf(g.sent)) {
                     if (answered.add(s.id())) {
                         admittedUnits += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
-                        g.end(s.id(), 0, Outcome.OK, 5);
+                        g.endAttempt(s.id(), 0, Outcome.OK, 5);
                     }
                 }
             }
@@ -70,7 +70,7 @@
     }
 
     private void request(int gateway, String plan, double units) {
-        gateways.get(gateway).ask("q" + serial++ + ":" + units, "read", plan, 42, units, gateways.size());
+        gateways.get(gateway).request("q" + serial++ + ":" + units, "read", plan, 42, units, gateways.size());
     }
 
     /** Units admitted over so many seconds of five times the small quota, requested at the given gateways. */
@@ -139,7 +139,7 @@
         flood(4, 5, 6, 7);
         int owner = RendezvousHash.rank(42, 0, 60, 60, 2)[0];
         double now = gateways.get(owner).now;
-        gateways.set(owner, new FakeGateway(now, FakeGateway.settings(owner, 60)).withHosts("a1", "a2", "a3"));
+        gateways.set(owner, new PolicyHarness(now, PolicyHarness.settings(owner, 60)).withHosts("a1", "a2", "a3"));
         double after = flood(4, 5, 6, 7);
         assertTrue(after >= 0.5 * 16 && after <= 16 + 6, "admitted after the restart " + after);
     }
@@ -149,23 +149,23 @@
         startGateways(3);
         int owner = RendezvousHash.rank(42, 0, 3, 3, 2)[0];
         int replica = owner == 0 ? 1 : 0;
-        FakeGateway g = gateways.get(owner);
+        PolicyHarness g = gateways.get(owner);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
             QuotaEntry e = new ReplicaReport(42, 0, set[0], set[1], 0, 4, 4, 1, OptionalDouble.empty(), true, false);
-            g.brain.peerMessageReceived(
+            g.policy.peerMessageReceived(
                     g.now, replica, QuotaMessageCodec.encode(new QuotaMessage(500, 0, 1 + set[1], 0, List.of(e))));
         }
         QuotaEntry plan = new ReplicaReport(42, 200, 0, 3, 0, 4, 4, 1, OptionalDouble.empty(), true, false);
-        g.brain.peerMessageReceived(
+        g.policy.peerMessageReceived(
                 g.now, replica, QuotaMessageCodec.encode(new QuotaMessage(600, 0, 1, 0, List.of(plan))));
-        g.pass(100);
-        assertTrue(g.told.isEmpty());
+        g.advance(100);
+        assertTrue(g.peerMessages.isEmpty());
         QuotaEntry good = new ReplicaReport(42, 0, 0, 3, 0, 4, 4, 1, OptionalDouble.empty(), true, false);
         byte[] once = QuotaMessageCodec.encode(new QuotaMessage(700, 0, 1, 0, List.of(good)));
-        g.brain.peerMessageReceived(g.now, replica, once);
-        g.brain.peerMessageReceived(g.now, replica, once);
-        g.pass(100);
-        OwnerReply answer = g.told.stream()
+        g.policy.peerMessageReceived(g.now, replica, once);
+        g.policy.peerMessageReceived(g.now, replica, once);
+        g.advance(100);
+        OwnerReply answer = g.peerMessages.stream()
                 .flatMap(t -> QuotaMessageCodec.decode(t.data()).orElseThrow().entries().stream())
                 .filter(OwnerReply.class::isInstance)
                 .map(OwnerReply.class::cast)
@@ -196,12 +196,12 @@
     @Test
     void damagedMessageIsRejectedWhole() {
         startGateways(2);
-        gateways.get(0).ask("a", "read", "small", 42, 4, 2);
-        gateways.get(1).ask("b", "read", "small", 42, 4, 2);
-        gateways.get(0).pass(400);
-        gateways.get(1).pass(400);
+        gateways.get(0).request("a", "read", "small", 42, 4, 2);
+        gateways.get(1).request("b", "read", "small", 42, 4, 2);
+        gateways.get(0).advance(400);
+        gateways.get(1).advance(400);
         byte[] good = gateways.stream()
-                .flatMap(g -> g.told.stream())
+                .flatMap(g -> g.peerMessages.stream())
                 .findFirst()
                 .orElseThrow()
                 .data();
@@ -242,22 +242,22 @@
     @Test
     void requestsOpenAtOnceAreLimited() {
         startGateways(1);
-        FakeGateway g = gateways.get(0);
+        PolicyHarness g = gateways.get(0);
         for (int i = 0; i < 4; i++) {
-            g.ask("o" + i, "read", "open", 5, 1, 1);
+            g.request("o" + i, "read", "open", 5, 1, 1);
         }
         assertEquals(2, g.sent.size());
-        assertEquals(2, g.refused.size());
-        g.end("o0", 0, Outcome.OK, 5);
-        g.ask("o9", "read", "open", 5, 1, 1);
-        assertEquals(1, g.sends("o9"));
+        assertEquals(2, g.rejected.size());
+        g.endAttempt("o0", 0, Outcome.OK, 5);
+        g.request("o9", "read", "open", 5, 1, 1);
+        assertEquals(1, g.attemptsOf("o9"));
     }
 
     /** One of three gateways that know of each other by the meter alone; five requests have exhausted its even share of the bucket. */
     private static int admittedOfFour(int usedPercent) {
-        Settings s = FakeGateway.settings(0, 3);
+        Settings s = PolicyHarness.settings(0, 3);
         Limits alone = new Limits(4, false, true, false, false, true, 500, 0);
-        FakeGateway g = new FakeGateway(
+        PolicyHarness g = new PolicyHarness(
                 1000,
                 new Settings(
                         s.seed(),
@@ -273,14 +273,14 @@
                         new Sharing(false, 0, 1000, false, 4, 0, 0, 0, 0)));
         g.withHosts("a1", "a2", "a3");
         for (int i = 0; i < 5; i++) {
-            g.pass(i == 4 ? 900 : 0);
-            g.ask("r" + i, "read", "small", 7, 1, 3);
-            g.brain.attemptEnded(
+            g.advance(i == 4 ? 900 : 0);
+            g.request("r" + i, "read", "small", 7, 1, 3);
+            g.policy.attemptEnded(
                     g.now,
                     new AttemptResult(
                             "r" + i,
                             0,
-                            g.hostOf("r" + i),
+                            g.lastHostOf("r" + i),
                             Outcome.OK,
                             10,
                             true,
@@ -290,7 +290,7 @@
         }
         int before = g.sent.size();
         for (int i = 0; i < 4; i++) {
-            g.ask("x" + i, "read", "small", 7, 1, 3);
+            g.request("x" + i, "read", "small", 7, 1, 3);
         }
         return g.sent.size() - before;
     }
@@ -305,25 +305,25 @@
     @Test
     void requestBeyondTheQuotaIsRejectedAtOnce() {
         startGateways(1);
-        FakeGateway g = gateways.get(0);
+        PolicyHarness g = gateways.get(0);
         for (int i = 0; i < 5; i++) {
-            g.ask("o" + i, "read", "small", 5, 4, 1);
+            g.request("o" + i, "read", "small", 5, 4, 1);
         }
         assertEquals(3, g.sent.size());
-        assertEquals(List.of("o3", "o4"), g.refused);
+        assertEquals(List.of("o3", "o4"), g.rejected);
     }
 
     /** An incarnation is cut from Unix time and wraps around; a peer that starts after that is still the later one. */
     @Test
     void nextIncarnationIsAcceptedWhereItsNumberHasWrapped() {
-        FakeGateway g = new FakeGateway(Integer.MAX_VALUE, FakeGateway.settings(0, 2)).withHosts("a1");
+        PolicyHarness g = new PolicyHarness(Integer.MAX_VALUE, PolicyHarness.settings(0, 2)).withHosts("a1");
         QuotaEntry e = new ReplicaReport(42, 0, 0, 2, 0, 4, 4, 1, OptionalDouble.empty(), true, false);
         for (int incarnation : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
-            int before = g.told.size();
-            g.brain.peerMessageReceived(
+            int before = g.peerMessages.size();
+            g.policy.peerMessageReceived(
                     g.now, 1, QuotaMessageCodec.encode(new QuotaMessage(incarnation, 0, 1, 0, List.of(e))));
-            g.pass(200);
-            assertTrue(g.told.size() > before, "no answer to incarnation " + incarnation);
+            g.advance(200);
+            assertTrue(g.peerMessages.size() > before, "no answer to incarnation " + incarnation);
         }
     }
 }
--- a/src/test/java/caperrudder/policy/QuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/QuotaSimulation.java
@@ -138,8 +138,8 @@
 
     /** The real policy, one a gateway, before hosts with capacity for all. */
     Admission fleet(List<Plan> plans, double maxUnits, long seed) {
-        Settings s = FakeGateway.metered(0, gateways, seed);
-        List<FakeGateway> fleet = new ArrayList<>();
+        Settings s = PolicyHarness.metered(0, gateways, seed);
+        List<PolicyHarness> fleet = new ArrayList<>();
         String[] hosts = IntStream.range(0, HOSTS_PER_GATEWAY * gateways)
                 .mapToObj(h -> "a" + h)
                 .toArray(String[]::new);
@@ -156,17 +156,17 @@
                     s.limits(),
                     s.rules(),
                     new Sharing(false, 0, PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
-            fleet.add(new FakeGateway(0, own).withHosts(hosts));
+            fleet.add(new PolicyHarness(0, own).withHosts(hosts));
         }
         return new Admission() {
             private final Map<ClientRequest, String> ids = new HashMap<>();
 
             @Override
             public boolean admits(ClientRequest t) {
-                FakeGateway g = fleet.get(t.gateway());
-                g.runTo(t.at());
+                PolicyHarness g = fleet.get(t.gateway());
+                g.advanceTo(t.at());
                 String id = "t" + ids.size() + "-" + t.at();
-                g.brain.requestReceived(
+                g.policy.requestReceived(
                         t.at(),
                         new Request(
                                 id,
@@ -179,16 +179,16 @@
                                 t.units(),
                                 t.firstReplica(),
                                 t.replicaCount()));
-                boolean in = g.sends(id) > 0;
+                boolean in = g.attemptsOf(id) > 0;
                 if (in) ids.put(t, id);
                 return in;
             }
 
             @Override
             public void responded(ClientRequest t, double at, int usedPercent) {
-                FakeGateway g = fleet.get(t.gateway());
-                g.runTo(at);
-                g.end(ids.get(t), 0, Outcome.OK, responseMs, usedPercent);
+                PolicyHarness g = fleet.get(t.gateway());
+                g.advanceTo(at);
+                g.endAttempt(ids.get(t), 0, Outcome.OK, responseMs, usedPercent);
             }
         };
     }
--- a/src/test/java/caperrudder/policy/TrafficPolicyTest.java
+++ b/src/test/java/caperrudder/policy/TrafficPolicyTest.java
@@ -30,8 +30,8 @@
 class TrafficPolicyTest {
     private static final int FILE_LINES = 400; // not blank, of the longest file
 
-    private static void requestThatWaited(FakeGateway g, String id, double waited, int spread, long customer) {
-        g.brain.requestReceived(
+    private static void requestThatWaited(PolicyHarness g, String id, double waited, int spread, long customer) {
+        g.policy.requestReceived(
                 g.now,
                 new Request(id, g.now + 3000 - waited, g.now - waited, false, "read", customer, "small", 1, 0, spread));
     }
@@ -39,105 +39,105 @@
     /** What a stall of the gateway has used up is not decided past half of its time, nor sent for nobody. */
     @Test
     void requestReadTooLateIsRejectedAtOnceAndAYoungerOneIsServed() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1");
         requestThatWaited(g, "old", 1300, 1, 1);
         requestThatWaited(g, "young", 300, 1, 1);
-        assertEquals(List.of("old"), g.refused);
-        assertEquals(1, g.sends("young"));
-        assertEquals(0, g.sends("old"));
+        assertEquals(List.of("old"), g.rejected);
+        assertEquals(1, g.attemptsOf("young"));
+        assertEquals(0, g.attemptsOf("old"));
     }
 
     /** A stall once held both keepers for silent, and refused what the customer's part had room for. */
     @Test
     void duringAnEventLoopStallNoOwnerIsAskedAndNoneIsBlamed() {
         long theirs = 1;
-        FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 2)).withHosts("a1");
+        PolicyHarness g = new PolicyHarness(1000, PolicyHarness.settings(0, 2)).withHosts("a1");
         while (RendezvousHash.rank(theirs, 0, 2, 2, 1)[0] == 0) {
             theirs++;
         }
-        g.pass(100); // timers run, and messages have their gap
+        g.advance(100); // timers run, and messages have their gap
         requestThatWaited(g, "asks", 0, 2, theirs);
-        assertEquals(0, g.sends("asks"));
+        assertEquals(0, g.attemptsOf("asks"));
         requestThatWaited(g, "late", 200, 2, theirs);
-        assertEquals(1, g.sends("late"));
+        assertEquals(1, g.attemptsOf("late"));
         g.now += 400; // a stall: the answer may stand unread
-        g.brain.timerFired(g.now, "beat");
-        assertEquals(0, g.sends("asks") + g.answers("asks"));
-        g.pass(500); // on time again, and no answer
-        assertEquals(1, g.sends("asks") + g.answers("asks"));
+        g.policy.timerFired(g.now, "beat");
+        assertEquals(0, g.attemptsOf("asks") + g.finalAnswersTo("asks"));
+        g.advance(500); // on time again, and no answer
+        assertEquals(1, g.attemptsOf("asks") + g.finalAnswersTo("asks"));
     }
 
     @Test
     void attemptsInFlightAreBoundedAndOtherRequestsWaitOrAreRejected() {
         // ia17a29: without a bound, hosts were overdriven within seconds and stayed slow
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2");
         for (int i = 0; i < 200; i++) {
-            g.ask("r" + i, "read");
+            g.request("r" + i, "read");
         }
         assertTrue(g.sent.size() >= 4 && g.sent.size() <= 40, "sent " + g.sent.size());
-        g.pass(1000);
-        assertTrue(g.refused.size() >= 150);
+        g.advance(1000);
+        assertTrue(g.rejected.size() >= 150);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void fewTimeoutsDoNotLowerTheConcurrencyLimit(boolean silent) {
         // Two time-outs of three seconds among twenty quick answers once halved the places within a second.
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 200; i++) {
-            g.ask("r" + i, "read");
+            g.request("r" + i, "read");
             if (silent && i % 20 == 0) {
-                g.ask("p" + i, "pay");
-                g.end("p" + i, 0, Outcome.TIMEOUT, 2900);
+                g.request("p" + i, "pay");
+                g.endAttempt("p" + i, 0, Outcome.TIMEOUT, 2900);
             }
-            g.pass(30);
-            g.end("r" + i, 0, Outcome.OK, 30);
+            g.advance(30);
+            g.endAttempt("r" + i, 0, Outcome.OK, 30);
         }
         int before = g.sent.size();
         for (int i = 0; i < 60; i++) {
-            g.ask("x" + i, "read");
+            g.request("x" + i, "read");
         }
         assertEquals(18, g.sent.size() - before);
     }
 
     @Test
     void timeoutsOfMostAttemptsLowerTheConcurrencyLimit() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 60; i++) {
-            g.ask("p" + i, "pay");
-            g.pass(30);
-            g.end("p" + i, 0, i % 4 == 0 ? Outcome.OK : Outcome.TIMEOUT, 30);
+            g.request("p" + i, "pay");
+            g.advance(30);
+            g.endAttempt("p" + i, 0, i % 4 == 0 ? Outcome.OK : Outcome.TIMEOUT, 30);
         }
         int before = g.sent.size();
         for (int i = 0; i < 60; i++) {
-            g.ask("x" + i, "read");
+            g.request("x" + i, "read");
         }
         assertTrue(g.sent.size() - before < 18);
     }
 
     @Test
     void freedSlotGoesToAWaitingRequest() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1");
         for (int i = 0; i < 30; i++) {
-            g.ask("r" + i, "read");
+            g.request("r" + i, "read");
         }
         int before = g.sent.size();
-        g.pass(10);
-        g.end("r0", 0, Outcome.OK, 10);
+        g.advance(10);
+        g.endAttempt("r0", 0, Outcome.OK, 10);
         assertEquals(before + 1, g.sent.size());
     }
 
     @Test
     void hostThatFailsFastIsNotPreferredAsIdle() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 60; i++) {
             String id = "r" + i;
-            g.ask(id, "read");
-            boolean bad = g.hostOf(id).equals("a1");
-            g.pass(bad ? 1 : 30);
-            g.end(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
-            if (bad && g.sends(id) > 1) {
-                g.end(id, 1, Outcome.OK, 30);
+            g.request(id, "read");
+            boolean bad = g.lastHostOf(id).equals("a1");
+            g.advance(bad ? 1 : 30);
+            g.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
+            if (bad && g.attemptsOf(id) > 1) {
+                g.endAttempt(id, 1, Outcome.OK, 30);
             }
         }
         assertTrue(g.sent.stream().filter(s -> s.host().equals("a1")).count() < 10);
@@ -145,20 +145,20 @@
 
     @Test
     void overdueAttemptIsCancelledWhereItMayRunElsewhere() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "b1", "b2");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "b1", "b2");
         for (int i = 0; i < 60; i++) {
-            g.ask("w" + i, "read");
-            g.pass(20);
-            g.end("w" + i, 0, Outcome.OK, 20);
+            g.request("w" + i, "read");
+            g.advance(20);
+            g.endAttempt("w" + i, 0, Outcome.OK, 20);
         }
-        g.ask("r", "read");
-        g.ask("p", "pay");
-        String stuck = g.hostOf("r");
-        g.pass(700);
+        g.request("r", "read");
+        g.request("p", "pay");
+        String stuck = g.lastHostOf("r");
+        g.advance(700);
         assertEquals(List.of("r"), g.cancelled); // what must not run twice is left to run
-        g.end("r", 0, Outcome.CANCELLED, 700);
-        assertNotEquals(stuck, g.hostOf("r"));
-        assertEquals(1, g.sends("p"));
+        g.endAttempt("r", 0, Outcome.CANCELLED, 700);
+        assertNotEquals(stuck, g.lastHostOf("r"));
+        assertEquals(1, g.attemptsOf("p"));
     }
 
     @Test
@@ -169,9 +169,9 @@
                 .toArray(String[]::new);
         Map<String, Integer> got = new TreeMap<>();
         for (int me = 0; me < 300; me++) {
-            FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me)).withHosts(hosts);
+            PolicyHarness g = new PolicyHarness(1000, PolicyHarness.settings(me, 300, me)).withHosts(hosts);
             for (int i = 0; i < 3; i++) {
-                g.ask("r" + i, "read");
+                g.request("r" + i, "read");
             }
             g.sent.forEach(s -> got.merge(s.host(), 1, Integer::sum));
         }
@@ -190,10 +190,10 @@
         int cold = 0;
         int total = 0;
         for (int me = 0; me < 300; me++) {
-            FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me));
-            g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
+            PolicyHarness g = new PolicyHarness(1000, PolicyHarness.settings(me, 300, me));
+            g.policy.hostsUpdated(g.now, HostListKind.FULL, hosts);
             for (int i = 0; i < 3; i++) {
-                g.ask("r" + i, "read");
+                g.request("r" + i, "read");
             }
             total += g.sent.size();
             cold += (int) g.sent.stream().filter(s -> s.host().equals("a7")).count();
@@ -205,18 +205,18 @@
     @Test
     void hostThatFailsOneClassStillServesTheOthers() {
         // port-louis-archi-later overload 0.28: hosts silent for one class were slow for all and still got it
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2", "a3");
         int orders = 0;
         int reads = 0;
         for (int i = 0; i < 120; i++) {
             String cls = i % 2 == 0 ? "pay" : "read";
             String id = cls + i;
-            g.ask(id, cls);
-            boolean bad = g.hostOf(id).equals("a1") && i % 2 == 0;
+            g.request(id, cls);
+            boolean bad = g.lastHostOf(id).equals("a1") && i % 2 == 0;
             orders += bad && i >= 30 ? 1 : 0;
-            reads += g.hostOf(id).equals("a1") && i % 2 == 1 ? 1 : 0;
-            g.pass(20);
-            g.end(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
+            reads += g.lastHostOf(id).equals("a1") && i % 2 == 1 ? 1 : 0;
+            g.advance(20);
+            g.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
         }
         assertTrue(orders < 5, "failing class sent on " + orders);
         assertTrue(reads > 15, "other class kept away, " + reads);
@@ -230,36 +230,36 @@
                 .toArray(String[]::new);
         Map<String, Integer> met = new TreeMap<>();
         for (int me = 0; me < 379; me++) {
-            FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 379, me)).withHosts(hosts);
+            PolicyHarness g = new PolicyHarness(1000, PolicyHarness.settings(me, 379, me)).withHosts(hosts);
             for (int i = 0; i < 200; i++) {
-                g.ask("r" + i, "read");
-                g.pass(20);
-                g.end("r" + i, 0, Outcome.OK, 20);
+                g.request("r" + i, "read");
+                g.advance(20);
+                g.endAttempt("r" + i, 0, Outcome.OK, 20);
             }
-            g.sent.stream().map(FakeGateway.Sent::host).distinct().forEach(h -> met.merge(h, 1, Integer::sum));
+            g.sent.stream().map(PolicyHarness.SentAttempt::host).distinct().forEach(h -> met.merge(h, 1, Integer::sum));
         }
         assertTrue(met.size() == 65 && met.values().stream().allMatch(n -> n <= 50), met.toString());
     }
 
-    private static long sendsTo(FakeGateway g, String host) {
+    private static long sendsTo(PolicyHarness g, String host) {
         return g.sent.stream().filter(s -> s.host().equals(host)).count();
     }
 
     @Test
     void hostThatRefusesTwoConnectionsIsAvoided() {
         // i412b8a: hosts with full tables were tried again and again by a gateway without a connection to them
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
-        g.ask("r", "read");
-        String full = g.hostOf("r");
-        g.end("r", 0, Outcome.CONNECT_FAILED, 1);
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2", "a3");
+        g.request("r", "read");
+        String full = g.lastHostOf("r");
+        g.endAttempt("r", 0, Outcome.CONNECT_FAILED, 1);
         for (int i = 0; sendsTo(g, full) < 2; i++) {
-            g.ask("w" + i, "read");
-            if (g.hostOf("w" + i).equals(full)) {
-                g.end("w" + i, 0, Outcome.CONNECT_FAILED, 1);
+            g.request("w" + i, "read");
+            if (g.lastHostOf("w" + i).equals(full)) {
+                g.endAttempt("w" + i, 0, Outcome.CONNECT_FAILED, 1);
             }
         }
         for (int i = 0; i < 9; i++) {
-            g.ask("x" + i, "read");
+            g.request("x" + i, "read");
         }
         assertEquals(2, sendsTo(g, full));
     }
@@ -268,28 +268,28 @@
     @EnumSource(names = {"CONNECT_FAILED", "RESET", "ERROR"})
     void singleFailureBetweenSuccessesLeavesNoHostIdle(Outcome failure) {
         // On a network that breaks one connection in ten, most hosts stood condemned and idle at any time.
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
-        g.ask("r", "read");
-        String host = g.hostOf("r");
-        g.end("r", 0, failure, 1);
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "a2", "a3");
+        g.request("r", "read");
+        String host = g.lastHostOf("r");
+        g.endAttempt("r", 0, failure, 1);
         for (int i = 0; i < 9; i++) {
-            g.ask("x" + i, "read");
+            g.request("x" + i, "read");
         }
         assertTrue(sendsTo(g, host) > 1, "idle beside " + g.sent);
     }
 
     @Test
     void serviceGoesOnWhenMostHostsLookBad() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
+        PolicyHarness g = PolicyHarness.single().withHosts("a1", "b1");
         for (int i = 0; i < 12; i++) {
-            g.ask("r" + i, "read");
-            for (int n = 0; n < g.sends("r" + i); n++) {
-                g.end("r" + i, n, Outcome.CONNECT_FAILED, 1);
+            g.request("r" + i, "read");
+            for (int n = 0; n < g.attemptsOf("r" + i); n++) {
+                g.endAttempt("r" + i, n, Outcome.CONNECT_FAILED, 1);
             }
         }
-        g.pass(20);
+        g.advance(20);
         int before = g.sent.size();
-        g.ask("x", "read");
+        g.request("x", "read");
         assertTrue(g.sent.size() > before);
     }
 
@@ -301,29 +301,29 @@
 
     @SuppressWarnings("EnumOrdinal") // drawn, never stored
     private static List<String> playedActions(long seed) {
-        FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
+        PolicyHarness g = new PolicyHarness(1000, PolicyHarness.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
         Random random = new Random(seed);
         List<String> open = new ArrayList<>();
         String[] classes = {"read", "pay", "order"};
         for (int i = 0; i < 400; i++) {
             String id = "r" + i;
-            g.ask(
+            g.request(
                     id,
                     classes[random.nextInt(3)],
                     random.nextBoolean() ? "small" : "free",
                     random.nextInt(20),
                     1 + random.nextInt(4),
                     3);
-            if (g.sends(id) > 0) {
+            if (g.attemptsOf(id) > 0) {
                 open.add(id);
             }
-            g.pass(random.nextInt(30));
+            g.advance(random.nextInt(30));
             if (!open.isEmpty() && random.nextInt(3) > 0) {
                 String done = open.remove(random.nextInt(open.size()));
-                g.end(done, 0, Outcome.values()[random.nextInt(6)], 20);
+                g.endAttempt(done, 0, Outcome.values()[random.nextInt(6)], 20);
             }
         }
-        return g.log;
+        return g.actionLog;
     }
 
     /** The limit on the lines of all files together is lifted; no file may grow, and the deploy file names them. */
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointCostsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointCostsTest.java
@@ -6,7 +6,7 @@
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
 import caperrudder.api.Outcome;
-import caperrudder.policy.FakeGateway;
+import caperrudder.policy.PolicyHarness;
 import java.lang.management.ManagementFactory;
 import java.util.List;
 import java.util.Random;
@@ -30,7 +30,7 @@
 
     @Test
     void changesIdleSecondsAndRequestsDoNotCopyTheEndpoints() {
-        FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(17, 4200, 5));
+        PolicyHarness g = new PolicyHarness(1_000_000, PolicyHarness.settings(17, 4200, 5));
         List<Host> hosts = IntStream.range(0, HOSTS)
                 .mapToObj(i -> host(i, HostState.RUNNING))
                 .toList();
@@ -50,14 +50,14 @@
         assertTrue(perChange < 20_000, perChange + " bytes for a change");
 
         before = allocated();
-        g.pass(10_000);
+        g.advance(10_000);
         long perSecond = (allocated() - before) / 10;
         assertTrue(perSecond < 400_000, perSecond + " bytes in an idle second");
 
         before = allocated();
         for (int i = 0; i < 100; i++) {
-            g.ask("r" + i, "read");
-            g.end("r" + i, 0, Outcome.OK, 20);
+            g.request("r" + i, "read");
+            g.endAttempt("r" + i, 0, Outcome.OK, 20);
         }
         long perRequest = (allocated() - before) / 100;
         assertTrue(perRequest < 20_000, perRequest + " bytes for a request");
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -14,7 +14,7 @@
 import caperrudder.api.Outcome;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
-import caperrudder.policy.FakeGateway;
+import caperrudder.policy.PolicyHarness;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -44,7 +44,7 @@
 
     private static List<Host> hosts(int count) {
         return IntStream.range(0, count)
-                .mapToObj(i -> FakeGateway.host("h" + i, "z" + i % 4))
+                .mapToObj(i -> PolicyHarness.host("h" + i, "z" + i % 4))
                 .toList();
     }
 
@@ -52,7 +52,7 @@
         return hosts.stream().map(s -> s.host().id()).toList();
     }
 
-    private static List<String> usable(FakeGateway g) {
+    private static List<String> usable(PolicyHarness g) {
         return ids(RankedEndpoints.copyCircular(
                 g.loadBalancer().table().usable(), 0, g.loadBalancer().table().usableCount()));
     }
@@ -80,7 +80,7 @@
             }
         }
 
-        void refresh(double now, FakeGateway g, int me, int gateways) {
+        void refresh(double now, PolicyHarness g, int me, int gateways) {
             all.values()
                     .removeIf(k -> !k.listed()
                             && g.loadBalancer().table().find(k.info().id()) == null); // forgotten
@@ -130,7 +130,7 @@
 
     @SuppressWarnings("EnumOrdinal") // drawn, never stored
     private void playRandomChanges(Random random, int me, int n, int numbers) {
-        FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(me, n, 5));
+        PolicyHarness g = new PolicyHarness(1_000_000, PolicyHarness.settings(me, n, 5));
         ScannedHosts scanned = new ScannedHosts();
         for (int step = 0; step < 200; step++) {
             boolean whole = step == 0 || random.nextInt(40) == 0;
@@ -147,18 +147,18 @@
             assertSameAsScan(scanned, g, me, n);
             for (int i = 0; i < 6; i++) {
                 String id = "r" + step + "-" + i;
-                g.ask(id, "pay");
-                if (g.sends(id) == 0) continue;
+                g.request(id, "pay");
+                if (g.attemptsOf(id) == 0) continue;
                 Outcome outcome = random.nextInt(3) > 0 ? Outcome.CONNECT_FAILED : Outcome.OK;
-                g.end(id, 0, outcome, 5);
+                g.endAttempt(id, 0, outcome, 5);
             }
-            g.pass(500 + random.nextInt(100) * 10); // beyond a beat at which hosts are counted
+            g.advance(500 + random.nextInt(100) * 10); // beyond a beat at which hosts are counted
             g.hostsUpdated(HostListKind.CHANGES, List.of());
             assertSameAsScan(scanned, g, me, n);
         }
     }
 
-    private static void assertSameAsScan(ScannedHosts scanned, FakeGateway g, int me, int n) {
+    private static void assertSameAsScan(ScannedHosts scanned, PolicyHarness g, int me, int n) {
         scanned.refresh(g.now(), g, me, n);
         assertEquals(scanned.usable, usable(g));
         assertEquals(scanned.subset, ids(g.loadBalancer().subset()));
@@ -169,17 +169,17 @@
     }
 
     /** So many gateways, each listed the same hosts. */
-    private static List<FakeGateway> fleet(int gateways, List<Host> hosts) {
-        List<FakeGateway> fleet = new ArrayList<>();
+    private static List<PolicyHarness> fleet(int gateways, List<Host> hosts) {
+        List<PolicyHarness> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            FakeGateway g = new FakeGateway(1000, FakeGateway.settings(i, gateways, i));
+            PolicyHarness g = new PolicyHarness(1000, PolicyHarness.settings(i, gateways, i));
             g.hostsUpdated(HostListKind.FULL, hosts);
             fleet.add(g);
         }
         return fleet;
     }
 
-    private static Map<String, Integer> gatewaysByHost(List<FakeGateway> fleet) {
+    private static Map<String, Integer> gatewaysByHost(List<PolicyHarness> fleet) {
         Map<String, Integer> gatewaysByHost = new HashMap<>();
         fleet.forEach(g -> g.loadBalancer()
                 .subset()
@@ -190,9 +190,9 @@
     /** The most subset that a gateway gains or loses by a change, and how many all gain and lose. */
     private record Moves(int mostGained, int mostLost, int gained, int lost) {}
 
-    private static Moves change(List<FakeGateway> fleet, Host h) {
+    private static Moves change(List<PolicyHarness> fleet, Host h) {
         Moves all = new Moves(0, 0, 0, 0);
-        for (FakeGateway g : fleet) {
+        for (PolicyHarness g : fleet) {
             Set<String> before = new HashSet<>(ids(g.loadBalancer().subset()));
             g.hostsUpdated(HostListKind.CHANGES, List.of(h));
             Set<String> after = new HashSet<>(ids(g.loadBalancer().subset()));
@@ -209,7 +209,7 @@
 
     @Test
     void inALargeFleetSixGatewaysUseEachHostAndAChangeMovesTheirSubsetsAlone() {
-        List<FakeGateway> fleet = fleet(240, hosts(3000));
+        List<PolicyHarness> fleet = fleet(240, hosts(3000));
         Map<String, Integer> gatewaysByHost = gatewaysByHost(fleet);
         assertEquals(3000, gatewaysByHost.size());
         assertEquals(Set.of(6), new HashSet<>(gatewaysByHost.values()));
@@ -223,7 +223,7 @@
                 .orElseThrow();
         assertTrue(least >= 45 && most <= 110, least + " to " + most + " subset, 75 on the mean");
         for (int i = 0; i < 20; i++) {
-            assertEquals(new Moves(1, 0, 6, 0), change(fleet, FakeGateway.host("new" + i, "z1")));
+            assertEquals(new Moves(1, 0, 6, 0), change(fleet, PolicyHarness.host("new" + i, "z1")));
         }
         for (int i = 0; i < 20; i++) {
             Host gone = new Host("h" + i * 100, "z1", "std", 0, HostState.GONE, 1, 0);
@@ -234,12 +234,12 @@
 
     @Test
     void inALargeFleetWithFewHostsAChangeMovesOneEndpointOfASubsetAtMost() {
-        List<FakeGateway> fleet = fleet(240, hosts(320));
+        List<PolicyHarness> fleet = fleet(240, hosts(320));
         Map<String, Integer> gatewaysByHost = gatewaysByHost(fleet);
         assertEquals(320, gatewaysByHost.size());
         assertEquals(Set.of(6), new HashSet<>(gatewaysByHost.values())); // 240 times eight subset
         for (int i = 0; i < 20; i++) {
-            Moves moves = change(fleet, FakeGateway.host("new" + i, "z1"));
+            Moves moves = change(fleet, PolicyHarness.host("new" + i, "z1"));
             assertTrue(moves.mostGained <= 1 && moves.mostLost <= 1, moves.toString());
             assertTrue(gatewaysByHost(fleet).values().stream().allMatch(k -> k >= 5 && k <= 7));
         }
@@ -247,7 +247,7 @@
 
     @Test
     void ofSeveralEntriesForAHostTheLastOneCounts() {
-        FakeGateway g = FakeGateway.alone();
+        PolicyHarness g = PolicyHarness.single();
         Host a = host("a", "z1", 1);
         Host gone = new Host("a", "z1", "std", 1, HostState.GONE, 1, 0);
         g.hostsUpdated(HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
@@ -262,7 +262,7 @@
         assertEquals(List.of("a", "b"), usable(g));
         g.hostsUpdated(HostListKind.FULL, List.of(a));
         assertEquals(List.of("a"), usable(g));
-        g.pass(6000);
+        g.advance(6000);
         assertNull(table.find("b"));
     }
 
@@ -270,8 +270,8 @@
     private static void assertRetryFindsTheHostOfItsPlace(DeduplicationScope scope, String zone) {
         RequestClass order =
                 new RequestClass("order", Idempotency.IDEMPOTENCY_KEY, scope, 60_000, 1000, 3000, 3, 0, false);
-        Settings s = FakeGateway.settings(3, 100);
-        FakeGateway g = new FakeGateway(
+        Settings s = PolicyHarness.settings(3, 100);
+        PolicyHarness g = new PolicyHarness(
                 1000,
                 new Settings(
                         7,
@@ -289,8 +289,8 @@
                 .mapToObj(i -> host("h" + i, "far", 1))
                 .toList();
         g.hostsUpdated(HostListKind.FULL, hosts);
-        g.ask("r", "order");
-        String first = g.hostOf("r");
+        g.request("r", "order");
+        String first = g.lastHostOf("r");
         g.hostsUpdated(HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
         Set<String> subset = Set.copyOf(ids(g.loadBalancer().subset()));
         String other = hosts.stream()
@@ -298,12 +298,12 @@
                 .filter(id -> !subset.contains(id) && !id.equals(first))
                 .findFirst()
                 .orElseThrow();
-        g.end("r", 0, Outcome.ERROR, 5);
-        assertEquals(1, g.sends("r")); // none may have the repeat
+        g.endAttempt("r", 0, Outcome.ERROR, 5);
+        assertEquals(1, g.attemptsOf("r")); // none may have the repeat
         g.hostsUpdated(HostListKind.CHANGES, List.of(host(other, zone, 9)));
         assertFalse(ids(g.loadBalancer().subset()).contains(other));
-        assertEquals(2, g.sends("r"));
-        assertEquals(other, g.hostOf("r"));
+        assertEquals(2, g.attemptsOf("r"));
+        assertEquals(other, g.lastHostOf("r"));
     }
 
     @Test
@@ -317,15 +317,15 @@
     }
 
     /** A gateway among the 4,200 to come. */
-    private static FakeGateway oneOfMany(List<Host> hosts) {
-        FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(17, 4200, 5));
+    private static PolicyHarness oneOfMany(List<Host> hosts) {
+        PolicyHarness g = new PolicyHarness(1_000_000, PolicyHarness.settings(17, 4200, 5));
         g.hostsUpdated(HostListKind.FULL, hosts);
         return g;
     }
 
     @Test
     void whereTheWholeSubsetIsInSlowStartARequestComparesAThousandOthersAtMost() {
-        FakeGateway g = oneOfMany(hosts(20_000));
+        PolicyHarness g = oneOfMany(hosts(20_000));
         g.hostsUpdated(
                 HostListKind.CHANGES,
                 g.loadBalancer().subset().stream()
@@ -334,10 +334,10 @@
         List<Double> visited = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             long before = g.loadBalancer().table().visited();
-            g.ask("r" + i, "read");
+            g.request("r" + i, "read");
             visited.add((double) (g.loadBalancer().table().visited() - before));
-            assertEquals(1, g.sends("r" + i));
-            g.end("r" + i, 0, Outcome.OK, 5);
+            assertEquals(1, g.attemptsOf("r" + i));
+            g.endAttempt("r" + i, 0, Outcome.OK, 5);
         }
         assertTrue(visited.stream().allMatch(t -> t <= 1024), visited.toString());
         assertTrue(visited.stream().anyMatch(t -> t > 0), visited.toString());
@@ -345,7 +345,7 @@
 
     /** Hosts compared, copied or visited for a change, on the mean of hosts that go and return. */
     private static double visitedByAChange(int count) {
-        FakeGateway g = oneOfMany(hosts(count));
+        PolicyHarness g = oneOfMany(hosts(count));
         Random random = new Random(1);
         int changes = 4000;
         long before = g.loadBalancer().table().visited();
@@ -354,7 +354,7 @@
             g.hostsUpdated(
                     HostListKind.CHANGES,
                     List.of(new Host("h" + number, "z" + number % 4, "std", 0, HostState.GONE, 1, 0)));
-            g.hostsUpdated(HostListKind.CHANGES, List.of(FakeGateway.host("h" + number, "z" + number % 4)));
+            g.hostsUpdated(HostListKind.CHANGES, List.of(PolicyHarness.host("h" + number, "z" + number % 4)));
         }
         return (g.loadBalancer().table().visited() - before) / (double) changes;
     }
@@ -368,10 +368,10 @@
 
     @Test
     void anIdleSecondVisitsNoMoreThanTheSubset() {
-        FakeGateway g = oneOfMany(hosts(160_000));
-        g.pass(20_000);
+        PolicyHarness g = oneOfMany(hosts(160_000));
+        g.advance(20_000);
         long before = g.loadBalancer().table().visited();
-        g.pass(1000);
+        g.advance(1000);
         long visited = g.loadBalancer().table().visited() - before;
         assertTrue(
                 visited <= 4L * g.loadBalancer().subset().size(),
--- a/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 
-import caperrudder.policy.FakeGateway;
+import caperrudder.policy.PolicyHarness;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -33,7 +33,7 @@
         RankedEndpoints ranked = new RankedEndpoints();
         for (int step = 0; step < 40_000; step++) {
             boolean grows = step / 10_000 % 2 == 0; // up to thousands, down to a few, and the same again
-            Endpoint s = new Endpoint(FakeGateway.host("h" + random.nextInt(6000), "a"));
+            Endpoint s = new Endpoint(PolicyHarness.host("h" + random.nextInt(6000), "a"));
             int key = key(s.id());
             Endpoint known = ranked.find(key, s.id());
             assertEquals(expected.contains(s), known != null);
@@ -68,7 +68,7 @@
     @Test
     void anEmptyListFindsNothing() {
         RankedEndpoints ranked = new RankedEndpoints();
-        Endpoint s = new Endpoint(FakeGateway.host("a1", "a"));
+        Endpoint s = new Endpoint(PolicyHarness.host("a1", "a"));
         assertNull(ranked.find(1, "a1"));
         assertEquals(0, ranked.rank(Integer.MAX_VALUE));
         ranked.add(1, s);
