--- a/src/main/java/caperrudder/server/downstream/InboundFlowControl.java
+++ b/src/main/java/caperrudder/server/downstream/InboundFlowControl.java
@@ -121,7 +121,7 @@
     }
 
     private boolean hasRoom() {
-        return keptBytes < KEPT_MIN_BYTES || (keptBytes < KEPT_MAX_BYTES && budget.keepsMore());
+        return keptBytes < KEPT_MIN_BYTES || (keptBytes < KEPT_MAX_BYTES && budget.hasPipelineRoom());
     }
 
     private void replay() {
@@ -149,7 +149,7 @@
     private void addKept(int bytes) {
         keptBytes += bytes;
         int beyond = Math.max(0, keptBytes - KEPT_MIN_BYTES);
-        budget.keep(beyond - borrowedBytes);
+        budget.addPipelinedBytes(beyond - borrowedBytes);
         borrowedBytes = beyond;
     }
 
--- a/src/main/java/caperrudder/server/downstream/ReplyWriter.java
+++ b/src/main/java/caperrudder/server/downstream/ReplyWriter.java
@@ -108,7 +108,7 @@
             to.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         setSource(parts);
-        int window = budget.window();
+        int window = budget.windowBytes();
         channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(window / 2, window));
         takenAtMs = clock.now();
         channel.write(to, channel.voidPromise());
@@ -129,9 +129,9 @@
 
     private void setSource(ResponseSource next) {
         if (source == null && next != null) {
-            budget.began();
+            budget.streamOpened();
         } else if (source != null && next == null) {
-            budget.ended();
+            budget.streamClosed();
         }
         source = next;
     }
--- a/src/main/java/caperrudder/server/downstream/RequestReader.java
+++ b/src/main/java/caperrudder/server/downstream/RequestReader.java
@@ -175,7 +175,7 @@
         } else if (request.headers().contains(HttpHeaderNames.EXPECT)) {
             reject(ctx, HttpResponseStatus.EXPECTATION_FAILED);
         }
-        streamedFromBytes = budget.passedFrom(HttpUtil.getContentLength(request, 0L));
+        streamedFromBytes = budget.streamedFromBytes(HttpUtil.getContentLength(request, 0L));
     }
 
     private static boolean isSupported(HttpRequest request) {
@@ -206,7 +206,7 @@
     }
 
     private void startStreaming(ChannelHandlerContext ctx) {
-        streamedBody = RequestBody.streamed(budget.window(), onRoom);
+        streamedBody = RequestBody.streamed(budget.windowBytes(), onRoom);
         if (body.isReadable()) {
             streamedBody.add(body);
             body = Unpooled.EMPTY_BUFFER;
--- a/src/main/java/caperrudder/server/runtime/StreamBufferBudget.java
+++ b/src/main/java/caperrudder/server/runtime/StreamBufferBudget.java
@@ -6,7 +6,7 @@
  */
 public final class StreamBufferBudget {
     /** A longer message is streamed and not held. */
-    private static final int HELD_MAX_BYTES = 64 * 1024;
+    private static final int BUFFERED_MAX_BYTES = 64 * 1024;
 
     private static final int WINDOW_MAX_BYTES = 64 * 1024;
     private static final int WINDOW_MIN_BYTES = 4 * 1024;
@@ -25,40 +25,42 @@
     }
 
     /** The longest message in bytes that is held before it is forwarded; less where many are streamed. */
-    public int held() {
-        return Math.min(HELD_MAX_BYTES, window());
+    public int bufferedMaxBytes() {
+        return Math.min(BUFFERED_MAX_BYTES, windowBytes());
     }
 
     /**
      * How many bytes of a message must have come before it is forwarded. Of one that announces to be long a few do:
      * enough to tell it from one whose length is wrong, which is better retried on another host.
      */
-    public int passedFrom(long announcedBytes) {
-        return announcedBytes > held() ? Math.min(WINDOW_MIN_BYTES, held()) : held();
+    public int streamedFromBytes(long announcedBytes) {
+        return announcedBytes > bufferedMaxBytes()
+                ? Math.min(WINDOW_MIN_BYTES, bufferedMaxBytes())
+                : bufferedMaxBytes();
     }
 
     /** How many bytes one more stream may hold: 4 to 64 KiB. */
-    public int window() {
+    public int windowBytes() {
         return (int) Math.max(WINDOW_MIN_BYTES, Math.min(WINDOW_MAX_BYTES, budgetBytes / Math.max(1, streams + 1)));
     }
 
     /** Whether more of the requests that clients pipeline may be held. */
-    public boolean keepsMore() {
+    public boolean hasPipelineRoom() {
         return pipelinedBytes < budgetBytes / PIPELINED_DIVISOR;
     }
 
     /** So many more bytes of pipelined requests are held, or fewer where negative. */
-    public void keep(int moreBytes) {
+    public void addPipelinedBytes(int moreBytes) {
         pipelinedBytes += moreBytes;
     }
 
     /** A stream was opened. */
-    public void began() {
+    public void streamOpened() {
         streams++;
     }
 
     /** A stream was closed. */
-    public void ended() {
+    public void streamClosed() {
         streams--;
     }
 }
--- a/src/main/java/caperrudder/server/upstream/ResponseAssembler.java
+++ b/src/main/java/caperrudder/server/upstream/ResponseAssembler.java
@@ -63,7 +63,7 @@
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
             connection.malformed();
         }
-        streamedFromBytes = budget.passedFrom(length);
+        streamedFromBytes = budget.streamedFromBytes(length);
     }
 
     private boolean isInterim() {
