--- a/src/test/java/caperrudder/server/ClientReadingTest.java
+++ b/src/test/java/caperrudder/server/ClientReadingTest.java
@@ -1,20 +1,16 @@
 package caperrudder.server;
 
-import static caperrudder.server.Sockets.entry;
-import static caperrudder.server.Sockets.headers;
-import static caperrudder.server.Sockets.list;
-import static caperrudder.server.Sockets.order;
-import static caperrudder.server.Sockets.view;
+import static caperrudder.server.DiscoveryAgent.entry;
+import static caperrudder.server.DiscoveryAgent.list;
+import static caperrudder.server.TestRequests.headers;
+import static caperrudder.server.TestRequests.order;
+import static caperrudder.server.TestRequests.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Message;
-import caperrudder.server.Sockets.Registry;
-import caperrudder.server.Sockets.Server;
 import caperrudder.server.http.MessageBodies;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -27,9 +23,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Clients that send what can't be read, or nothing: each gets an error or a close, and no host hears of it. */
-class ClientReadingTest extends SocketTest {
-    private static final String ORDER =
-            "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", Sockets.PATIENCE_MS) + "Idempotency-Key: k\r\n";
+class ClientReadingTest extends GatewaySocketTest {
+    private static final String ORDER = "POST /order/x HTTP/1.1\r\nHost: h\r\n"
+            + headers("o", GatewaySocketTest.TIMEOUT_MS) + "Idempotency-Key: k\r\n";
     private static final String INNER = "GET /view/inner HTTP/1.1\r\n\r\n";
 
     /** Where two readers may see another end, a second request hides: none of these may go on, nor what follows. */
@@ -56,27 +52,27 @@
                 "Content-Length : 3\r\n\r\nabc"
             })
     void requestOfAmbiguousLengthIsRejectedAndItsConnectionClosed(String rest) throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host)).send(ORDER + rest + INNER);
-        Message answer = c.receive();
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        TestClient c = client(gatewayFor(host)).send(ORDER + rest + INNER);
+        HttpMessage answer = c.receive();
         assertEquals(400, answer.status());
         assertEquals("close", answer.header("Connection"));
         assertNull(c.receive());
-        assertEquals(List.of(), host.asked);
+        assertEquals(List.of(), host.requests());
     }
 
     /** A request that is safe to repeat goes on without a length, so a host would read its body as another one. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 28\r\n\r\n" + INNER, "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"})
     void getWithABodyIsNotForwarded(String rest) throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
-        String plain = view("v", Sockets.PATIENCE_MS);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        TestClient c = client(gatewayFor(host));
+        String plain = view("v", GatewaySocketTest.TIMEOUT_MS);
         assertEquals(
                 400,
                 c.send(plain.substring(0, plain.length() - 2) + rest).receive().status());
         assertEquals(200, c.send(plain).receive().status());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
     }
 
     @ParameterizedTest
@@ -110,25 +106,25 @@
                 "HTTP/1.1|HTTP/3.7"
             })
     void impossibleValuesAreRejectedAndNotCounted(String good, String bad) throws Exception {
-        Server host = host(SocketTest::echo);
+        ScriptedServer host = host(GatewaySocketTest::echo);
         String plain = view("v", 1000);
         assertTrue(plain.contains(good));
         assertEquals(
                 400,
-                client(nodeBefore(host))
+                client(gatewayFor(host))
                         .send(plain.replace(good, bad))
                         .receive()
                         .status());
-        assertEquals(List.of(), host.asked);
+        assertEquals(List.of(), host.requests());
     }
 
     /** What its class allows bounds the time that is told to the host, whatever the client says. */
     @Test
     void timeToldToTheHostIsBoundedByTheClass() throws Exception {
-        Server host = host(SocketTest::echo);
+        ScriptedServer host = host(GatewaySocketTest::echo);
         assertEquals(
                 200,
-                client(nodeBefore(host)).send(view("v", 999_999_999)).receive().status());
+                client(gatewayFor(host)).send(view("v", 999_999_999)).receive().status());
         assertTrue(Integer.parseInt(host.next().header("X-Expires-In-Ms")) <= 60_000);
     }
 
@@ -136,22 +132,25 @@
     @Test
     void idOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        Server host = host((m, s) -> {
-            told.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        ScriptedServer host = host((m, s) -> {
+            told.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        GatewayServer node = nodeBefore(host);
-        Client first = client(node).send(view("same", Sockets.PATIENCE_MS));
+        GatewayServer node = gatewayFor(host);
+        TestClient first = client(node).send(view("same", GatewaySocketTest.TIMEOUT_MS));
         assertNotNull(host.next());
         assertEquals(
                 400,
-                client(node).send(view("same", Sockets.PATIENCE_MS)).receive().status());
+                client(node)
+                        .send(view("same", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .status());
         told.countDown();
         assertEquals("for same ", first.receive().text());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
         assertEquals(
                 "for same ",
-                first.send(view("same", Sockets.PATIENCE_MS)).receive().text());
+                first.send(view("same", GatewaySocketTest.TIMEOUT_MS)).receive().text());
     }
 
     /** Before a byte of the body has come, and in its turn behind the answer that is still due. */
@@ -160,23 +159,23 @@
             strings = {"Content-Length: 60000000\r\n\r\n", "Content-Length: 60000000\r\nExpect: 100-continue\r\n\r\n"})
     void bodyAnnouncedTooLongIsRejectedInItsTurn(String rest) throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
-        Server host = host((m, s) -> {
-            sent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        ScriptedServer host = host((m, s) -> {
+            sent.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Client c = client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS) + ORDER + rest);
+        TestClient c = client(gatewayFor(host)).send(view("v", GatewaySocketTest.TIMEOUT_MS) + ORDER + rest);
         assertNotNull(host.next());
         sent.countDown();
         assertEquals("for v ", c.receive().text());
         assertEquals(413, c.receive().status());
         assertNull(c.receive());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
     }
 
     @Test
     void chunkedBodyIsRejectedOnceItIsTooLong() throws Exception {
-        Server host = host((m, s) -> s.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
-        Client c = client(nodeBefore(host)).send(ORDER + "Transfer-Encoding: chunked\r\n\r\n");
+        ScriptedServer host = host((m, s) -> s.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
+        TestClient c = client(gatewayFor(host)).send(ORDER + "Transfer-Encoding: chunked\r\n\r\n");
         String chunk = "40000\r\n" + "x".repeat(0x40000) + "\r\n";
         for (int sent = 0; sent <= MessageBodies.MAX_BYTES; sent += 0x40000) {
             c.send(chunk);
@@ -186,7 +185,7 @@
 
     @Test
     void clientThatExpectsContinueGetsIt() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        TestClient c = client(gatewayFor(host(GatewaySocketTest::echo)));
         c.send(ORDER + "Content-Length: 4\r\nExpect: 100-continue\r\n\r\n");
         assertEquals(100, c.receive().status());
         assertEquals("for o body", c.send("body").receive().text());
@@ -203,12 +202,12 @@
                 "POST /order/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
     void incompleteRequestTimesOut(String half) throws Exception {
-        GatewayServer node = nodeBefore(host(SocketTest::echo));
-        Client c = client(node).send(half);
-        Client used = client(node).send(view("v", Sockets.PATIENCE_MS));
+        GatewayServer node = gatewayFor(host(GatewaySocketTest::echo));
+        TestClient c = client(node).send(half);
+        TestClient used = client(node).send(view("v", GatewaySocketTest.TIMEOUT_MS));
         assertEquals(200, used.receive().status());
         used.send(half);
-        Message answer = c.receive();
+        HttpMessage answer = c.receive();
         assertEquals(half.isEmpty() ? "closed" : "408", answer == null ? "closed" : "" + answer.status());
         if (!half.isEmpty()) {
             assertEquals(408, used.receive().status());
@@ -217,7 +216,7 @@
 
     @Test
     void headBeyondItsLimitIsRejected() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        TestClient c = client(gatewayFor(host(GatewaySocketTest::echo)));
         c.send("GET /view/x HTTP/1.1\r\n" + "X-A: bcdefghijklmnopqrstuvwxyz\r\n".repeat(300));
         assertEquals(431, c.receive().status());
     }
@@ -225,22 +224,23 @@
     /** Hundreds that say nothing must not take the place of one that does, nor of those that are in use. */
     @Test
     void silentCrowdEvictsNoUsedConnection() throws Exception {
-        Server host = host(SocketTest::echo);
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"sockets\": 1024", "\"sockets\": 60"));
-        ends.push(node::stop);
-        List<Client> regulars = new ArrayList<>();
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"sockets\": 1024", "\"sockets\": 60"));
+        closeAtEnd(node::stop);
+        List<TestClient> regulars = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             regulars.add(client(node));
             assertEquals(
                     200,
                     regulars.get(i)
-                            .send(view("r" + i, Sockets.PATIENCE_MS))
+                            .send(view("r" + i, GatewaySocketTest.TIMEOUT_MS))
                             .receive()
                             .status());
         }
-        List<Client> silent = new ArrayList<>();
+        List<TestClient> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             silent.add(client(node));
         }
@@ -248,11 +248,11 @@
             assertEquals(
                     200,
                     regulars.get(i)
-                            .send(view("s" + i, Sockets.PATIENCE_MS))
+                            .send(view("s" + i, GatewaySocketTest.TIMEOUT_MS))
                             .receive()
                             .status());
         }
-        for (Client c : silent) {
+        for (TestClient c : silent) {
             assertNull(closedOr(c));
         }
     }
@@ -260,20 +260,21 @@
     /** It has sent something lately; those who came after it and stopped give way first. */
     @Test
     void slowHeadIsKeptInACrowdThatStopped() throws Exception {
-        Server host = host(SocketTest::echo);
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"sockets\": 1024", "\"sockets\": 60"));
-        ends.push(node::stop);
-        Client regular = client(node);
-        Client slow = client(node);
-        String request = view("v", Sockets.PATIENCE_MS);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"sockets\": 1024", "\"sockets\": 60"));
+        closeAtEnd(node::stop);
+        TestClient regular = client(node);
+        TestClient slow = client(node);
+        String request = view("v", GatewaySocketTest.TIMEOUT_MS);
         for (int part = 0; part < 10; part++) {
             slow.send(request.substring(part * 10, part * 10 + 10));
             for (int i = 0; i < 8; i++) { // all of them are three times as many as fit
                 sendOrBeClosed(client(node));
             }
-            Client last = client(node); // it is taken after them, so no more of them wait to be taken
+            TestClient last = client(node); // it is taken after them, so no more of them wait to be taken
             assertEquals(
                     200,
                     last.send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -292,19 +293,22 @@
     /** Many that ask for health on ever new connections once pushed out those that bring the requests. */
     @Test
     void crowdOfSingleUseConnectionsEvictsNoRegularOne() throws Exception {
-        Server host = host(SocketTest::echo);
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"sockets\": 1024", "\"sockets\": 60"));
-        ends.push(node::stop);
-        Client regular = client(node);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"sockets\": 1024", "\"sockets\": 60"));
+        closeAtEnd(node::stop);
+        TestClient regular = client(node);
         for (int i = 0; i < 2; i++) {
             assertEquals(
                     200,
-                    regular.send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
+                    regular.send(view("r" + i, GatewaySocketTest.TIMEOUT_MS))
+                            .receive()
+                            .status());
         }
         for (int i = 0; i < 60; i++) {
-            Client once = client(node);
+            TestClient once = client(node);
             assertEquals(
                     200,
                     once.send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -313,20 +317,20 @@
             assertEquals(
                     200,
                     client(node)
-                            .send(view("o" + i, Sockets.PATIENCE_MS))
+                            .send(view("o" + i, GatewaySocketTest.TIMEOUT_MS))
                             .receive()
                             .status());
             if (i % 20 == 19) { // more came in between than fit
                 assertEquals(
                         "for p" + i + " ",
-                        regular.send(view("p" + i, Sockets.PATIENCE_MS))
+                        regular.send(view("p" + i, GatewaySocketTest.TIMEOUT_MS))
                                 .receive()
                                 .text());
             }
         }
     }
 
-    private static void sendOrBeClosed(Client c) {
+    private static void sendOrBeClosed(TestClient c) {
         try {
             c.send("GET /vi");
         } catch (IOException closed) {
@@ -334,7 +338,7 @@
         }
     }
 
-    private static Message closedOr(Client c) {
+    private static HttpMessage closedOr(TestClient c) {
         try {
             return c.receive();
         } catch (IOException reset) {
@@ -345,21 +349,21 @@
     /** A flood of bad requests is answered whole, but read only now and then. */
     @Test
     void floodOfBadRequestsIsAllAnswered() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        TestClient c = client(gatewayFor(host(GatewaySocketTest::echo)));
         String bad = view("v", 1000).replace("units=1", "units=x");
         c.send(bad.repeat(40));
         for (int i = 0; i < 40; i++) {
             assertEquals(400, c.receive().status());
         }
-        c.send(view("v", Sockets.PATIENCE_MS));
+        c.send(view("v", GatewaySocketTest.TIMEOUT_MS));
         assertEquals(200, c.receive().status());
-        assertFalse(c.socket.isClosed());
+        assertFalse(c.socket().isClosed());
     }
 
     @Test
     void keyedRequestKeepsItsBody() throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        TestClient c = client(gatewayFor(host));
         c.send(ORDER + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
         assertEquals("for o abcde", c.receive().text());
         assertEquals("5", host.next().header("Content-Length"));
@@ -369,7 +373,7 @@
     /** Bytes that can't be read behind a long body have their turn behind its answer. */
     @Test
     void garbageBehindALongBodyEndsTheConnectionAfterItsResponse() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        TestClient c = client(gatewayFor(host(GatewaySocketTest::echo)));
         String body = "x".repeat(100_000);
         c.send(order("o", body) + "noise\r\n\r\n");
         assertEquals("for o " + body, c.receive().text());
--- a/src/test/java/caperrudder/server/ClosingTest.java
+++ b/src/test/java/caperrudder/server/ClosingTest.java
@@ -1,15 +1,12 @@
 package caperrudder.server;
 
-import static caperrudder.server.Sockets.bytes;
-import static caperrudder.server.Sockets.view;
+import static caperrudder.server.TestRequests.bytes;
+import static caperrudder.server.TestRequests.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Message;
-import caperrudder.server.Sockets.Server;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -18,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Bytes that arrive as the gateway ends a client's connection: they reach no host, and cost no answer. */
-class ClosingTest extends SocketTest {
-    private static final int TIME = Sockets.PATIENCE_MS;
+class ClosingTest extends GatewaySocketTest {
+    private static final int TIME = GatewaySocketTest.TIMEOUT_MS;
     private static final String BODY = "x".repeat(40_000);
 
     /** A client that has taken little of its answer when the gateway ends the connection. */
     private Socket slow(GatewayServer node) throws Exception {
-        Socket s = kept(new Socket());
+        Socket s = closeAtEnd(new Socket());
         s.setReceiveBufferSize(2048);
         s.setSoTimeout(TIME);
         s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()));
@@ -40,21 +37,21 @@
     }
 
     private static void assertTakenWhole(Socket s) throws Exception {
-        Message answer = Sockets.read(s.getInputStream());
+        HttpMessage answer = HttpMessage.read(s.getInputStream());
         assertEquals(200, answer.status());
         assertEquals(BODY.length(), answer.body().length);
-        assertNull(Sockets.read(s.getInputStream()));
+        assertNull(HttpMessage.read(s.getInputStream()));
     }
 
     /** Closing over what had come behind the request reset the connection, and most of the answer was lost. */
     @Test
     void lastResponseIsTakenWholeWhenMoreWasSentThanIsRead() throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
-        Server host = host((m, to) -> {
+        ScriptedServer host = host((m, to) -> {
             sent.await(TIME, TimeUnit.MILLISECONDS);
-            to.getOutputStream().write(Sockets.ok(BODY));
+            to.getOutputStream().write(TestRequests.ok(BODY));
         });
-        GatewayServer node = nodeBefore(host);
+        GatewayServer node = gatewayFor(host);
         Socket s = slow(node);
         s.getOutputStream().write(bytes(view("v", TIME).replace("Host: h", "Host: h\r\nConnection: close")));
         assertNotNull(host.next());
@@ -68,7 +65,7 @@
     /** The close of a connection that rested crossed a request, and the answer before was not taken yet. */
     @Test
     void responseIsTakenWholeWhenARequestCrossesTheClose() throws Exception {
-        GatewayServer node = nodeBefore(host((m, to) -> to.getOutputStream().write(Sockets.ok(BODY))));
+        GatewayServer node = gatewayFor(host((m, to) -> to.getOutputStream().write(TestRequests.ok(BODY))));
         Socket s = slow(node);
         s.getOutputStream().write(bytes(view("v", TIME)));
         awaitAnswered(node, 1);
@@ -83,11 +80,11 @@
     /** Read after the end of the output it can't be answered: its client asks again elsewhere. */
     @Test
     void requestThatCrossesTheCloseReachesNoHost() throws Exception {
-        Server host = host(SocketTest::echo);
-        GatewayServer node = nodeBefore(host);
-        Client c = client(node);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(host);
+        TestClient c = client(node);
         assertEquals("for v ", c.send(view("v", TIME)).receive().text());
-        Client half = client(node);
+        TestClient half = client(node);
         assertEquals("for u ", half.send(view("u", TIME)).receive().text());
         node.loop()
                 .submit(() -> {
@@ -102,14 +99,14 @@
         c.close();
         half.close();
         assertTrue(node.drain().awaitDrained(TIME));
-        assertEquals(2, host.asked.size());
+        assertEquals(2, host.requests().size());
     }
 
     /** A client that neither takes nor ends holds nothing up for long. */
     @Test
     void clientThatNeverEndsItsSideIsClosedSoon() throws Exception {
-        GatewayServer node = nodeBefore(host(SocketTest::echo));
-        Client c = client(node);
+        GatewayServer node = gatewayFor(host(GatewaySocketTest::echo));
+        TestClient c = client(node);
         assertEquals(200, c.send(view("v", TIME)).receive().status());
         node.loop().submit(node.drain()::stopServing).sync();
         assertNull(c.receive());
@@ -119,15 +116,15 @@
     /** Nor does one that goes on sending without end: it is read away only for a while. */
     @Test
     void floodBehindTheLastResponseIsCutOff() throws Exception {
-        GatewayServer node = nodeBefore(host(SocketTest::echo));
-        Client c = client(node);
+        GatewayServer node = gatewayFor(host(GatewaySocketTest::echo));
+        TestClient c = client(node);
         c.send(view("v", TIME).replace("Host: h", "Host: h\r\nConnection: close"));
         assertEquals("for v ", c.receive().text());
         byte[] flood = new byte[64 * 1024];
         boolean cut = false;
         for (long sent = 0; sent < 1L << 30 && !cut; sent += flood.length) {
             try {
-                c.socket.getOutputStream().write(flood);
+                c.socket().getOutputStream().write(flood);
             } catch (java.io.IOException e) {
                 cut = true;
             }
@@ -138,15 +135,16 @@
     /** Connections of which only the client's end is awaited take nobody's place. */
     @Test
     void lingeringConnectionsAreEvictedFirst() throws Exception {
-        registry = kept(new Sockets.Registry(Sockets.list(1, true)));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"sockets\": 1024", "\"sockets\": 60"));
-        ends.push(node::stop);
+        discovery = closeAtEnd(new DiscoveryAgent(DiscoveryAgent.list(1, true)));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"sockets\": 1024", "\"sockets\": 60"));
+        closeAtEnd(node::stop);
         String health = "GET /healthz HTTP/1.1\r\nHost: h\r\n";
-        Client regular = client(node);
+        TestClient regular = client(node);
         assertEquals(200, regular.send(health + "\r\n").receive().status());
         for (int i = 0; i < 100; i++) { // four times as many as fit
-            Client c = client(node);
+            TestClient c = client(node);
             assertEquals(
                     200, c.send(health + "Connection: close\r\n\r\n").receive().status());
             assertNull(c.receive());
--- a/src/test/java/caperrudder/server/GatewayProcessTest.java
+++ b/src/test/java/caperrudder/server/GatewayProcessTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.server.Sockets.Message;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -82,7 +81,7 @@
     }
 
     private String config(String discovery) {
-        return Sockets.config(discovery, "127.0.0.1:0")
+        return TestGateways.config(discovery, "127.0.0.1:0")
                 .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + port + "\", \"disc");
     }
 
@@ -96,7 +95,7 @@
     }
 
     private void awaitLog(String part) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GatewaySocketTest.TIMEOUT_MS);
         while (!Files.readString(dir.resolve("log")).contains(part)) {
             assertTrue(process.isAlive() && System.nanoTime() < end, "not logged: " + part);
             Thread.sleep(20);
@@ -104,7 +103,7 @@
     }
 
     private void awaitReady() throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GatewaySocketTest.TIMEOUT_MS);
         while (!ready()) {
             assertTrue(process.isAlive() && System.nanoTime() < end, "not ready");
             Thread.sleep(20);
@@ -113,9 +112,9 @@
 
     private boolean ready() {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.setSoTimeout(Sockets.PATIENCE_MS);
-            s.getOutputStream().write(Sockets.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
-            Message answer = Sockets.read(s.getInputStream());
+            s.setSoTimeout(GatewaySocketTest.TIMEOUT_MS);
+            s.getOutputStream().write(TestRequests.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
+            HttpMessage answer = HttpMessage.read(s.getInputStream());
             return answer != null && answer.status() == 200;
         } catch (IOException e) {
             return false;
@@ -177,18 +176,18 @@
         CountDownLatch many = new CountDownLatch(1);
         Semaphore held = new Semaphore(0);
         List<Socket> busy = new ArrayList<>();
-        try (Sockets.Server old = new Sockets.Server((m, s) -> {
+        try (ScriptedServer old = new ScriptedServer((m, s) -> {
                     held.release();
                     (m.header("X-Trace-Id").equals("b0") ? first : others).await();
-                    SocketTest.echo(m, s);
+                    GatewaySocketTest.echo(m, s);
                 });
-                Sockets.Server fresh = new Sockets.Server(SocketTest::echo);
-                Sockets.Server discovery = new Sockets.Server((m, s) -> {
+                ScriptedServer fresh = new ScriptedServer(GatewaySocketTest::echo);
+                ScriptedServer discovery = new ScriptedServer((m, s) -> {
                     if (!up.get()) {
                         s.close();
                     } else if (m.start().contains("from=41&")) {
                         s.getOutputStream()
-                                .write(Sockets.ok(Sockets.list(
+                                .write(TestRequests.ok(DiscoveryAgent.list(
                                         42, false, asHosts("old", old, "draining"), asHosts("fresh", fresh, "ready"))));
                     } else {
                         heard.countDown();
@@ -200,30 +199,33 @@
                             .replace("\"sockets\": 1024", "\"sockets\": " + LIMIT)
                             .replace(
                                     "{\"version\": 0, \"full\": true, \"servers\": []}",
-                                    Sockets.list(41, true, asHosts("old", old, "ready"))),
+                                    DiscoveryAgent.list(41, true, asHosts("old", old, "ready"))),
                     "log",
                     LIMIT);
             awaitReady();
             for (int i = 0; i < LIMIT / 4; i++) {
                 Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
-                s.setSoTimeout(Sockets.PATIENCE_MS);
+                s.setSoTimeout(GatewaySocketTest.TIMEOUT_MS);
                 busy.add(s);
-                s.getOutputStream().write(Sockets.bytes(Sockets.view("b" + i, Sockets.PATIENCE_MS)));
-                assertTrue(held.tryAcquire(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS), "not sent on: " + i);
+                s.getOutputStream().write(TestRequests.bytes(TestRequests.view("b" + i, GatewaySocketTest.TIMEOUT_MS)));
+                assertTrue(held.tryAcquire(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS), "not sent on: " + i);
             }
-            busy.get(0).getOutputStream().write(Sockets.bytes(Sockets.view("after", Sockets.PATIENCE_MS)));
+            busy.get(0)
+                    .getOutputStream()
+                    .write(TestRequests.bytes(TestRequests.view("after", GatewaySocketTest.TIMEOUT_MS)));
             Thread crowd = new Thread(() -> crowd(second, over, many));
             crowd.start();
-            assertTrue(many.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(many.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             up.set(true);
-            assertTrue(heard.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS), "the list was not read");
+            assertTrue(heard.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS), "the list was not read");
             first.countDown();
-            assertEquals("for b0 ", Sockets.read(busy.get(0).getInputStream()).text());
             assertEquals(
-                    "for after ", Sockets.read(busy.get(0).getInputStream()).text());
+                    "for b0 ", HttpMessage.read(busy.get(0).getInputStream()).text());
+            assertEquals(
+                    "for after ", HttpMessage.read(busy.get(0).getInputStream()).text());
             assertEquals(
                     1,
-                    fresh.asked.stream()
+                    fresh.requests().stream()
                             .filter(m -> "after".equals(m.header("X-Trace-Id")))
                             .count());
             Socket quiet = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -243,9 +245,9 @@
     }
 
     /** One server under the names of several hosts, each of which is sent what one host bears. */
-    private static String asHosts(String name, Sockets.Server server, String state) {
+    private static String asHosts(String name, ScriptedServer server, String state) {
         return IntStream.range(0, 8)
-                .mapToObj(i -> Sockets.entry(name + i, server.address(), state))
+                .mapToObj(i -> DiscoveryAgent.entry(name + i, server.address(), state))
                 .collect(Collectors.joining(","));
     }
 
@@ -268,19 +270,19 @@
     void sigtermExitsWithZero() throws Exception {
         startServing();
         process.destroy();
-        assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(0, process.exitValue());
     }
 
     /** Between its first call for the list, just before it listens, and its first client, it once died of the signal. */
     @Test
     void sigtermJustBeforeListeningExitsWithZero() throws Exception {
-        try (Sockets.Server silent = new Sockets.Server((m, s) -> {})) {
+        try (ScriptedServer silent = new ScriptedServer((m, s) -> {})) {
             choosePort();
             start(config(silent.address()));
             assertTrue(silent.next() != null);
             process.destroy();
-            assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         }
     }
@@ -288,25 +290,25 @@
     /** SIGHUP once ended the process; each new file moves discovery, and one that can't be read moves nothing. */
     @Test
     void sighupFollowsDiscoveryAndSigtermStillExitsWithZero() throws Exception {
-        try (Sockets.Registry first = new Sockets.Registry(Sockets.list(7, true));
-                Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true))) {
+        try (DiscoveryAgent first = new DiscoveryAgent(DiscoveryAgent.list(7, true));
+                DiscoveryAgent second = new DiscoveryAgent(DiscoveryAgent.list(3, true))) {
             startServing();
-            for (Sockets.Registry next : List.of(first, second, first)) {
+            for (DiscoveryAgent next : List.of(first, second, first)) {
                 hangUp("{\"name\": \"n0\"}");
                 awaitLog("WARN config: reload failed, configuration unchanged");
                 assertTrue(ready());
-                hangUp(config(next.server.address()));
-                assertEquals("GET /v1/servers HTTP/1.1", next.server.next().start());
-                assertTrue(next.server.next().start().contains(next == first ? "from=7&" : "from=3&"));
+                hangUp(config(next.server().address()));
+                assertEquals("GET /v1/servers HTTP/1.1", next.server().next().start());
+                assertTrue(next.server().next().start().contains(next == first ? "from=7&" : "from=3&"));
             }
             process.destroy();
-            assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         }
     }
 
     private static void awaitLine(Path log, String part) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GatewaySocketTest.TIMEOUT_MS);
         while (!Files.exists(log) || !Files.readString(log).contains(part)) {
             assertTrue(System.nanoTime() < end, "not logged: " + part);
             Thread.sleep(20);
@@ -328,7 +330,7 @@
             awaitLine(shared.resolve("caperrudder-claim"), process.pid() + " true");
             old.destroy();
             old.destroy();
-            assertTrue(old.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(old.waitFor(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, old.exitValue());
             assertTrue(ready());
         }
@@ -340,9 +342,9 @@
     private static String longList(int version, int hosts) {
         String[] entries = new String[hosts];
         for (int i = 0; i < hosts; i++) {
-            entries[i] = Sockets.entry("host-" + i, "127.0.0.2:" + (1 + i), "ready");
+            entries[i] = DiscoveryAgent.entry("host-" + i, "127.0.0.2:" + (1 + i), "ready");
         }
-        return Sockets.list(version, true, entries);
+        return DiscoveryAgent.list(version, true, entries);
     }
 
     private String config(String discovery, String known) {
@@ -357,24 +359,24 @@
 
     private void assertServes(String id) throws IOException {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.setSoTimeout(Sockets.PATIENCE_MS);
-            s.getOutputStream().write(Sockets.bytes(Sockets.view(id, Sockets.PATIENCE_MS)));
-            assertEquals(200, Sockets.read(s.getInputStream()).status());
+            s.setSoTimeout(GatewaySocketTest.TIMEOUT_MS);
+            s.getOutputStream().write(TestRequests.bytes(TestRequests.view(id, GatewaySocketTest.TIMEOUT_MS)));
+            assertEquals(200, HttpMessage.read(s.getInputStream()).status());
         }
     }
 
     /** Such a list was asked for six times a second, or filled the heap; the last good one has to serve on. */
     @Test
     void listBeyondMemoryIsRejectedWithOneLogLineAndSeldomPolled() throws Exception {
-        byte[] beyond = Sockets.ok(longList(2, 20_000));
-        try (Sockets.Server host =
-                        new Sockets.Server((m, s) -> s.getOutputStream().write(Sockets.ok("ok")));
-                Sockets.Server agent = new Sockets.Server((m, s) -> s.getOutputStream()
+        byte[] beyond = TestRequests.ok(longList(2, 20_000));
+        try (ScriptedServer host =
+                        new ScriptedServer((m, s) -> s.getOutputStream().write(TestRequests.ok("ok")));
+                ScriptedServer agent = new ScriptedServer((m, s) -> s.getOutputStream()
                         .write(
                                 m.start().contains("from=")
                                         ? beyond
-                                        : Sockets.ok(Sockets.list(
-                                                1, true, Sockets.entry("h0", host.address(), "ready")))))) {
+                                        : TestRequests.ok(DiscoveryAgent.list(
+                                                1, true, DiscoveryAgent.entry("h0", host.address(), "ready")))))) {
             choosePort();
             process = launch(config(agent.address()), "log", "-Xmx24m");
             assertEquals("GET /v1/servers HTTP/1.1", agent.next().start());
@@ -396,14 +398,14 @@
     /** The main thread once ended with the heap full, and the process neither served nor ended. */
     @Test
     void knownEndpointsBeyondMemoryAreRejectedWithOneLogLineAndTheWholeListIsPolled() throws Exception {
-        try (Sockets.Server host =
-                        new Sockets.Server((m, s) -> s.getOutputStream().write(Sockets.ok("ok")));
-                Sockets.Registry agent =
-                        new Sockets.Registry(Sockets.list(1, true, Sockets.entry("h0", host.address(), "ready")))) {
+        try (ScriptedServer host =
+                        new ScriptedServer((m, s) -> s.getOutputStream().write(TestRequests.ok("ok")));
+                DiscoveryAgent agent = new DiscoveryAgent(
+                        DiscoveryAgent.list(1, true, DiscoveryAgent.entry("h0", host.address(), "ready")))) {
             choosePort();
-            process = launch(config(agent.server.address(), longList(41, 40_000)), "log", "-Xmx24m");
+            process = launch(config(agent.server().address(), longList(41, 40_000)), "log", "-Xmx24m");
             awaitReady();
-            assertEquals("GET /v1/servers HTTP/1.1", agent.server.next().start());
+            assertEquals("GET /v1/servers HTTP/1.1", agent.server().next().start());
             assertServes("v");
             assertEquals(1, refusals());
             awaitLog("WARN config: endpoint list in 'known' rejected bytes=");
@@ -414,11 +416,11 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void longKnownListWithoutAnAgentDelaysTheStartByAFewPollsAndTheWarmUp(boolean silent) throws Exception {
-        try (Sockets.Server agent = new Sockets.Server((m, s) -> {})) {
+        try (ScriptedServer agent = new ScriptedServer((m, s) -> {})) {
             choosePort();
             process = launch(config(silent ? agent.address() : "127.0.0.1:1", longList(41, 10_000)), "log", "-Xmx48m");
             awaitReady();
-            int calls = agent.asked.size();
+            int calls = agent.requests().size();
             assertTrue(calls <= 3, calls + " calls, of which the second comes after 1 s and more each 0.2 s");
             String warm = Files.readAllLines(dir.resolve("log")).stream()
                     .filter(l -> l.startsWith("INFO gateway: warmed up answers="))
@@ -431,7 +433,7 @@
     @Test
     void badConfigurationExitsWithOneLogLine() throws Exception {
         start("{\"name\": \"n0\"}");
-        assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, process.exitValue());
         assertEquals(1, Files.readAllLines(dir.resolve("log")).size());
     }
--- a/src/test/java/caperrudder/server/GatewayServerTest.java
+++ b/src/test/java/caperrudder/server/GatewayServerTest.java
@@ -1,12 +1,12 @@
 package caperrudder.server;
 
-import static caperrudder.server.Sockets.bytes;
-import static caperrudder.server.Sockets.entry;
-import static caperrudder.server.Sockets.headers;
-import static caperrudder.server.Sockets.list;
-import static caperrudder.server.Sockets.ok;
-import static caperrudder.server.Sockets.order;
-import static caperrudder.server.Sockets.view;
+import static caperrudder.server.DiscoveryAgent.entry;
+import static caperrudder.server.DiscoveryAgent.list;
+import static caperrudder.server.TestRequests.bytes;
+import static caperrudder.server.TestRequests.headers;
+import static caperrudder.server.TestRequests.ok;
+import static caperrudder.server.TestRequests.order;
+import static caperrudder.server.TestRequests.view;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -29,10 +29,6 @@
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
 import caperrudder.api.Snapshot;
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Message;
-import caperrudder.server.Sockets.Registry;
-import caperrudder.server.Sockets.Server;
 import caperrudder.server.config.ConfigurationException;
 import caperrudder.server.config.GatewayConfig;
 import java.io.IOException;
@@ -55,7 +51,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A node between real sockets: each test is a failure that must not cost a request or break a rule. */
-class GatewayServerTest extends SocketTest {
+class GatewayServerTest extends GatewaySocketTest {
     private static final String DEAD = "127.0.0.1:1"; // below the ports that the system gives out
 
     @Test
@@ -64,84 +60,86 @@
         for (int i = 0; i < body.length; i++) {
             body[i] = (byte) (i * 31);
         }
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
             s.getOutputStream().write(body);
         });
-        Client c = client(nodeBefore(host));
-        Message answer = c.send(order("id-1", "two copies")).receive();
+        TestClient c = client(gatewayFor(host));
+        HttpMessage answer = c.send(order("id-1", "two copies")).receive();
         assertEquals(200, answer.status());
         assertArrayEquals(body, answer.body());
-        Message sent = host.next();
+        HttpMessage sent = host.next();
         assertEquals("POST /order/x HTTP/1.1", sent.start());
         assertEquals("id-1", sent.header("X-Trace-Id"));
         assertEquals("key-id-1", sent.header("Idempotency-Key"));
         assertEquals("two copies", sent.text());
-        assertTrue(Integer.parseInt(sent.header("X-Expires-In-Ms")) <= Sockets.PATIENCE_MS);
-        assertEquals(200, c.send(view("id-2", Sockets.PATIENCE_MS)).receive().status());
+        assertTrue(Integer.parseInt(sent.header("X-Expires-In-Ms")) <= GatewaySocketTest.TIMEOUT_MS);
+        assertEquals(
+                200,
+                c.send(view("id-2", GatewaySocketTest.TIMEOUT_MS)).receive().status());
         assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.next().start());
     }
 
     @Test
     void requestIsRetriedWhenAHostRefusesConnections() throws Exception {
-        Server host = host(GatewayServerTest::echo);
-        GatewayServer node = nodeWith(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayListing(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     "for o" + i + " b",
                     client(node).send(order("o" + i, "b")).receive().text());
         }
-        assertEquals(10, host.asked.size());
+        assertEquals(10, host.requests().size());
     }
 
     /** It may have run, so the client must not be told that a further try is harmless (rule 2). */
     @Test
     void keyedRequestFailsAndIsNotRejectedWhenItsConnectionsBreak() throws Exception {
-        Server host = host((m, s) -> s.close());
-        int status = client(nodeBefore(host)).send(order("o", "b")).receive().status();
+        ScriptedServer host = host((m, s) -> s.close());
+        int status = client(gatewayFor(host)).send(order("o", "b")).receive().status();
         assertEquals(502, status);
-        assertEquals(3, host.asked.size());
+        assertEquals(3, host.requests().size());
     }
 
     @Test
     void requestThatNeverRanIsRejectedWithRetryAfter() throws Exception {
-        Server host = host((m, s) ->
+        ScriptedServer host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
-        Message answer = client(nodeBefore(host)).send(order("o", "b")).receive();
+        HttpMessage answer = client(gatewayFor(host)).send(order("o", "b")).receive();
         assertEquals(429, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
     }
 
     @Test
     void excessOverTheQuotaIsRejectedWithRetryAfter() throws Exception {
-        Server host = host(GatewayServerTest::echo);
-        Client c = client(nodeBefore(host));
-        String tiny = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny");
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        TestClient c = client(gatewayFor(host));
+        String tiny = view("t", GatewaySocketTest.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
-        Message answer = c.send(tiny).receive();
+        HttpMessage answer = c.send(tiny).receive();
         assertEquals(429, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
     }
 
     /** Another plan in the same customer's name once opened new books, with a full store. */
     @Test
     void claimingAnotherPlanDoesNotRefillTheBucket() throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
-        String free = view("t", Sockets.PATIENCE_MS);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        TestClient c = client(gatewayFor(host));
+        String free = view("t", GatewaySocketTest.TIMEOUT_MS);
         String tiny = free.replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         for (String again : List.of(tiny, free, tiny)) {
             assertEquals(429, c.send(again).receive().status());
         }
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
     }
 
     @Test
     void requestIsRetriedWhenItsResponseBreaksOff() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             if (asked.incrementAndGet() > 1) {
                 echo(m, s);
                 return;
@@ -151,8 +149,8 @@
         });
         assertEquals(
                 "for v ",
-                client(nodeBefore(host))
-                        .send(view("v", Sockets.PATIENCE_MS))
+                client(gatewayFor(host))
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
                         .receive()
                         .text());
         assertEquals(2, asked.get());
@@ -160,38 +158,40 @@
 
     @Test
     void attemptIsCancelledWhenItsClientLeaves() throws Exception {
-        Server host = host((m, s) -> {});
-        Client c = client(nodeBefore(host));
-        c.send(view("v", Sockets.PATIENCE_MS));
+        ScriptedServer host = host((m, s) -> {});
+        TestClient c = client(gatewayFor(host));
+        c.send(view("v", GatewaySocketTest.TIMEOUT_MS));
         assertNotNull(host.next());
         c.close();
-        assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(host.ended().poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** What comes after the client's time must reach nobody: not that client, nor the next request. */
     @Test
     void lateResponseReachesNoOtherRequest() throws Exception {
         CountDownLatch timeIsUp = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("slow")) {
-                timeIsUp.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                timeIsUp.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        Client c = client(nodeBefore(host));
+        TestClient c = client(gatewayFor(host));
         assertNotEquals(200, c.send(view("slow", 300)).receive().status());
         timeIsUp.countDown();
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
-                    c.send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+                    c.send(view("v" + i, GatewaySocketTest.TIMEOUT_MS))
+                            .receive()
+                            .text());
         }
     }
 
     @Test
     void badRequestsGetAnErrorAndReachNoHost() throws Exception {
-        Server host = host(GatewayServerTest::echo);
-        GatewayServer node = nodeBefore(host);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(host);
         String good = view("v", 1000);
         for (String bad : List.of(
                 good.replace("X-Plan: free\r\n", ""),
@@ -225,15 +225,15 @@
                         .send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
                         .receive()
                         .status());
-        assertEquals(List.of(), host.asked);
+        assertEquals(List.of(), host.requests());
     }
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        Client c = client(nodeBefore(host(GatewayServerTest::echo)));
+        TestClient c = client(gatewayFor(host(GatewaySocketTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
-            all.append(view("p" + i, Sockets.PATIENCE_MS));
+            all.append(view("p" + i, GatewaySocketTest.TIMEOUT_MS));
         }
         c.send(all.toString());
         for (int i = 0; i < 40; i++) {
@@ -243,48 +243,56 @@
 
     @Test
     void drainingHostGetsNothingNewAndAMovedOneIsFollowed() throws Exception {
-        Server old = host(GatewayServerTest::echo);
-        Server fresh = host(GatewayServerTest::echo);
-        GatewayServer node = nodeBefore(old);
-        Client c = client(node);
-        assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        ScriptedServer old = host(GatewaySocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(old);
+        TestClient c = client(node);
+        assertEquals(
+                200, c.send(view("a", GatewaySocketTest.TIMEOUT_MS)).receive().status());
         awaitWatches(1);
-        registry.news.add(list(2, false, entry("h0", old.address(), "draining"), entry("h1", DEAD, "ready")));
-        registry.news.add(list(3, false, entry("h1", fresh.address(), "ready")));
+        discovery.updates().add(list(2, false, entry("h0", old.address(), "draining"), entry("h1", DEAD, "ready")));
+        discovery.updates().add(list(3, false, entry("h1", fresh.address(), "ready")));
         awaitWatches(3);
         for (int i = 0; i < 5; i++) {
             assertEquals(
-                    200, c.send(view("b" + i, Sockets.PATIENCE_MS)).receive().status());
+                    200,
+                    c.send(view("b" + i, GatewaySocketTest.TIMEOUT_MS))
+                            .receive()
+                            .status());
         }
-        assertEquals(1, old.asked.size());
-        assertEquals(5, fresh.asked.size());
+        assertEquals(1, old.requests().size());
+        assertEquals(5, fresh.requests().size());
     }
 
     @Test
     void fullListRemovesTheHostsThatItDoesNotName() throws Exception {
-        Server old = host(GatewayServerTest::echo);
-        Server fresh = host(GatewayServerTest::echo);
-        GatewayServer node = nodeBefore(old);
+        ScriptedServer old = host(GatewaySocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(old);
         awaitWatches(1);
-        registry.news.add(list(9, true, entry("h1", fresh.address(), "ready")));
+        discovery.updates().add(list(9, true, entry("h1", fresh.address(), "ready")));
         awaitWatches(2);
         assertEquals(
-                200, client(node).send(view("a", Sockets.PATIENCE_MS)).receive().status());
-        assertEquals(0, old.asked.size());
+                200,
+                client(node)
+                        .send(view("a", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .status());
+        assertEquals(0, old.requests().size());
     }
 
     /** The first calls of a watch that is broken again and again, and still goes on from the version held. */
     @Test
     void brokenWatchGoesOnFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Server broken = kept(new Server((m, s) -> {
+        ScriptedServer broken = closeAtEnd(new ScriptedServer((m, s) -> {
             if (!m.start().contains("from=")) {
                 s.getOutputStream().write(ok(list(7, true)));
             } else if (calls.incrementAndGet() < 4) {
                 s.close();
             }
         }));
-        ends.push(Sockets.node(Sockets.config(broken.address(), "127.0.0.1:0"))::stop);
+        closeAtEnd(TestGateways.start(TestGateways.config(broken.address(), "127.0.0.1:0"))::stop);
         for (int i = 0; i < 5; i++) {
             String call = broken.next().start();
             assertEquals(i > 0, call.contains("from=7&"), call);
@@ -294,39 +302,43 @@
     /** A release that killed most of a fleet had all of them ask for whole lists, and seven of ten got none for 10 s. */
     @Test
     void startPollsOnlyForChangesSinceTheKnownList() throws Exception {
-        Server host = host(GatewayServerTest::echo);
-        Server agent = kept(new Server((m, s) -> s.getOutputStream()
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        ScriptedServer agent = closeAtEnd(new ScriptedServer((m, s) -> s.getOutputStream()
                 .write(ok(
                         m.start().contains("from=41&")
                                 ? list(43, false, entry("h2", host.address(), "ready"))
                                 : "[]"))));
         String known = list(41, true, entry("h1", "127.0.0.1:1", "draining"));
-        GatewayServer node = Sockets.node(Sockets.config(agent.address(), "127.0.0.1:0")
+        GatewayServer node = TestGateways.start(TestGateways.config(agent.address(), "127.0.0.1:0")
                 .replace("{\"version\": 0, \"full\": true, \"servers\": []}", known));
-        ends.push(node::stop);
+        closeAtEnd(node::stop);
         assertTrue(agent.next().start().contains("from=41&"));
         assertTrue(agent.next().start().contains("from=43&"));
         assertEquals(
-                200, client(node).send(view("a", Sockets.PATIENCE_MS)).receive().status());
+                200,
+                client(node)
+                        .send(view("a", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .status());
     }
 
     /** An agent that numbers anew may not know a version of before; then the whole list is due. */
     @Test
     void versionUnknownToDiscoveryIsNotPolledAgain() throws Exception {
-        Server agent = kept(new Server((m, s) -> s.getOutputStream()
+        ScriptedServer agent = closeAtEnd(new ScriptedServer((m, s) -> s.getOutputStream()
                 .write(
                         m.start().contains("from=41&")
                                 ? bytes("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
                                 : ok(list(3, true, entry("h1", "127.0.0.1:1", "ready"))))));
         String known = list(41, true, entry("h1", "127.0.0.1:1", "ready"));
-        ends.push(Sockets.node(Sockets.config(agent.address(), "127.0.0.1:0")
+        closeAtEnd(TestGateways.start(TestGateways.config(agent.address(), "127.0.0.1:0")
                 .replace("{\"version\": 0, \"full\": true, \"servers\": []}", known))::stop);
         assertTrue(agent.next().start().contains("from=41&"));
         assertFalse(agent.next().start().contains("from="));
         assertTrue(agent.next().start().contains("from=3&"));
     }
 
-    private static long msToNext(Server server) throws Exception {
+    private static long msToNext(ScriptedServer server) throws Exception {
         assertNotNull(server.next());
         long from = System.nanoTime();
         assertNotNull(server.next());
@@ -334,16 +346,16 @@
     }
 
     /** Of a node that has to ask a service for its lists; an agent nearby answers at no cost. */
-    private static String asking(Server discovery) {
-        return Sockets.config(discovery.address(), "127.0.0.1:0")
+    private static String asking(ScriptedServer discovery) {
+        return TestGateways.config(discovery.address(), "127.0.0.1:0")
                 .replace("\"az\": \"a\"", "\"az\": \"a\", \"discovery\": \"subscribe\"");
     }
 
     /** A fleet that starts together once asked together, twenty times a second each. */
     @Test
     void discoveryThatRejectsPollsIsPolledWithBackoff() throws Exception {
-        Server refusing = kept(new Server((m, s) -> s.close()));
-        ends.push(Sockets.node(asking(refusing))::stop);
+        ScriptedServer refusing = closeAtEnd(new ScriptedServer((m, s) -> s.close()));
+        closeAtEnd(TestGateways.start(asking(refusing))::stop);
         for (int i = 0; i < 5; i++) {
             assertNotNull(refusing.next());
         }
@@ -352,65 +364,71 @@
 
     @Test
     void retryAfterOfDiscoveryIsKept() throws Exception {
-        Server busy = kept(new Server((m, s) -> {
+        ScriptedServer busy = closeAtEnd(new ScriptedServer((m, s) -> {
             s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nRetry-After: 1.0\r\nContent-Length: 0\r\n\r\n"));
             s.close();
         }));
-        ends.push(Sockets.node(asking(busy))::stop);
+        closeAtEnd(TestGateways.start(asking(busy))::stop);
         assertTrue(msToNext(busy) >= 300);
     }
 
     /** One entry that can't be read once threw the whole list away, and again each time it was asked for. */
     @Test
     void malformedEntryCostsOnlyItsOwnHost() throws Exception {
-        Server known = host(GatewayServerTest::echo);
-        Server fresh = host(GatewayServerTest::echo);
-        GatewayServer node = nodeBefore(known);
+        ScriptedServer known = host(GatewaySocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(known);
         awaitWatches(1);
-        registry.news.add(list(
-                2,
-                false,
-                entry("h0", known.address(), "resting"),
-                entry("h7", "nowhere", "ready"),
-                "{}",
-                entry("h1", fresh.address(), "ready")));
+        discovery
+                .updates()
+                .add(list(
+                        2,
+                        false,
+                        entry("h0", known.address(), "resting"),
+                        entry("h7", "nowhere", "ready"),
+                        "{}",
+                        entry("h1", fresh.address(), "ready")));
         awaitWatches(2);
-        Client c = client(node);
+        TestClient c = client(node);
         for (int i = 0; i < 5; i++) {
             assertEquals(
-                    200, c.send(view("a" + i, Sockets.PATIENCE_MS)).receive().status());
+                    200,
+                    c.send(view("a" + i, GatewaySocketTest.TIMEOUT_MS))
+                            .receive()
+                            .status());
         }
-        assertEquals(0, known.asked.size()); // what it wants is not known, so it gets nothing new
-        assertEquals(5, fresh.asked.size());
+        assertEquals(0, known.requests().size()); // what it wants is not known, so it gets nothing new
+        assertEquals(5, fresh.requests().size());
     }
 
     /** The old agent may have an answer under way, whose hosts are those of before the move. */
     @Test
     void updateOfAnAgentThatWasLeftIsIgnored() throws Exception {
-        Server gone = host(GatewayServerTest::echo);
-        Server fresh = host(GatewayServerTest::echo);
+        ScriptedServer gone = host(GatewaySocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
         CountDownLatch moved = new CountDownLatch(1);
-        Server old = kept(new Server((m, s) -> {
-            moved.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        ScriptedServer old = closeAtEnd(new ScriptedServer((m, s) -> {
+            moved.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             s.getOutputStream().write(ok(list(900, true, entry("h0", gone.address(), "ready"))));
         }));
-        GatewayServer node = Sockets.node(Sockets.config(old.address(), "127.0.0.1:0"));
-        ends.push(node::stop);
+        GatewayServer node = TestGateways.start(TestGateways.config(old.address(), "127.0.0.1:0"));
+        closeAtEnd(node::stop);
         assertNotNull(old.next());
-        registry = kept(new Registry(list(1, true, entry("h1", fresh.address(), "ready"))));
-        node.reload(Sockets.configured(Sockets.config(registry.server.address(), "127.0.0.1:0")));
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entry("h1", fresh.address(), "ready"))));
+        node.reload(
+                TestGateways.configured(TestGateways.config(discovery.server().address(), "127.0.0.1:0")));
         awaitWatches(1);
         moved.countDown();
-        assertNotNull(old.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(old.ended().poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
                     client(node)
-                            .send(view("v" + i, Sockets.PATIENCE_MS))
+                            .send(view("v" + i, GatewaySocketTest.TIMEOUT_MS))
                             .receive()
                             .text());
         }
-        assertEquals(5, fresh.asked.size());
+        assertEquals(5, fresh.requests().size());
     }
 
     private static int freePort() throws IOException {
@@ -425,11 +443,11 @@
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String mine = "127.0.0.1:" + port;
-            Server host = host(GatewayServerTest::echo);
-            registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-            GatewayServer node = Sockets.node(
-                    Sockets.config(registry.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
-            ends.push(node::stop);
+            ScriptedServer host = host(GatewaySocketTest::echo);
+            discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
+            GatewayServer node = TestGateways.start(
+                    TestGateways.config(discovery.server().address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
+            closeAtEnd(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             for (DatagramSocket from : List.of(stranger, peer)) {
                 for (int size : new int[] {0, 1, 40, 256, 257, 4000}) {
@@ -438,12 +456,12 @@
             }
             // Several customers, since the node itself keeps the books of some of them.
             for (int i = 0; i < 8; i++) {
-                String shared = view("s" + i, Sockets.PATIENCE_MS)
+                String shared = view("s" + i, GatewaySocketTest.TIMEOUT_MS)
                         .replace("spread=1", "spread=2")
                         .replace("b4d65521", "b4d6552" + i);
                 assertEquals(200, client(node).send(shared).receive().status());
             }
-            peer.setSoTimeout(Sockets.PATIENCE_MS);
+            peer.setSoTimeout(GatewaySocketTest.TIMEOUT_MS);
             DatagramPacket told = new DatagramPacket(new byte[1000], 1000);
             peer.receive(told);
             assertTrue(told.getLength() > 0 && told.getLength() <= 256);
@@ -453,16 +471,18 @@
     /** What waited in its socket while the loop was busy was once sent on as new, and answered to nobody. */
     @Test
     void requestReadTooLateByABusyEventLoopIsRejected() throws Exception {
-        Server host = host(GatewayServerTest::echo);
-        GatewayServer node = nodeBefore(host);
-        Client client = client(node);
-        assertEquals(200, client.send(view("r1", Sockets.PATIENCE_MS)).receive().status());
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(host);
+        TestClient client = client(node);
+        assertEquals(
+                200,
+                client.send(view("r1", GatewaySocketTest.TIMEOUT_MS)).receive().status());
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch sent = new CountDownLatch(1);
         node.loop().execute(() -> {
             busy.countDown();
             try {
-                sent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                sent.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 double end = node.clock().now() + 1500;
                 while (node.clock().now() < end) {
                     Thread.sleep(1);
@@ -471,14 +491,16 @@
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(busy.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(busy.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         client.send(view("r2", 2000));
         sent.countDown();
-        Message answer = client.receive();
+        HttpMessage answer = client.receive();
         assertEquals(429, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
-        assertEquals(1, host.asked.size());
-        assertEquals(200, client.send(view("r3", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(1, host.requests().size());
+        assertEquals(
+                200,
+                client.send(view("r3", GatewaySocketTest.TIMEOUT_MS)).receive().status());
     }
 
     /** A longer absence from a fleet that serves costs more than a slow start; a fleet at rest can wait. */
@@ -488,15 +510,15 @@
                 DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String mine = "127.0.0.1:" + port;
-            registry = kept(new Registry(list(1, true)));
-            GatewayServer node = Sockets.node(
-                    Sockets.config(registry.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
-            ends.push(node::stop);
+            discovery = closeAtEnd(new DiscoveryAgent(list(1, true)));
+            GatewayServer node = TestGateways.start(
+                    TestGateways.config(discovery.server().address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
+            closeAtEnd(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             stranger.send(new DatagramPacket(new byte[8], 8, to));
             assertFalse(node.hasHeardPeers());
             peer.send(new DatagramPacket(new byte[8], 8, to));
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GatewaySocketTest.TIMEOUT_MS);
             while (!node.hasHeardPeers()) {
                 assertTrue(System.nanoTime() < end, "the peer was not heard");
                 Thread.sleep(5);
@@ -507,87 +529,92 @@
     @Test
     void requestsOpenAtADrainAreAnsweredAndTheirConnectionsClosed() throws Exception {
         CountDownLatch draining = new CountDownLatch(1);
-        Server host = host((m, s) -> {
-            draining.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        ScriptedServer host = host((m, s) -> {
+            draining.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        GatewayServer node = nodeBefore(host);
-        Client busy = client(node).send(view("v", Sockets.PATIENCE_MS));
-        Client idle = client(node);
+        GatewayServer node = gatewayFor(host);
+        TestClient busy = client(node).send(view("v", GatewaySocketTest.TIMEOUT_MS));
+        TestClient idle = client(node);
         assertNotNull(host.next());
         node.loop().submit(() -> node.drain().begin(false)).sync();
-        Client late = client(node).send(view("w", Sockets.PATIENCE_MS)); // clients still come for a while
+        TestClient late = client(node).send(view("w", GatewaySocketTest.TIMEOUT_MS)); // clients still come for a while
         assertNotNull(host.next());
         node.loop().submit(node.drain()::stopServing).sync();
         draining.countDown();
-        for (Client c : List.of(busy, late)) {
-            Message answer = c.receive();
+        for (TestClient c : List.of(busy, late)) {
+            HttpMessage answer = c.receive();
             assertEquals(200, answer.status());
             assertEquals("close", answer.header("Connection"));
             assertNull(c.receive());
         }
         assertNull(idle.receive());
-        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(GatewaySocketTest.TIMEOUT_MS));
     }
 
     /** Each once ended with its next answer: where gateways restart in turn, their clients then found none at all. */
     @Test
     void drainServesOnKeptConnections() throws Exception {
-        GatewayServer node = nodeBefore(host(SocketTest::echo));
-        Client kept = client(node);
+        GatewayServer node = gatewayFor(host(GatewaySocketTest::echo));
+        TestClient kept = client(node);
         assertEquals(
-                "for v ", kept.send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                "for v ",
+                kept.send(view("v", GatewaySocketTest.TIMEOUT_MS)).receive().text());
         node.loop().submit(() -> node.drain().begin(false)).sync();
         node.loop().submit(node::stopAccepting).sync().getNow().sync();
         for (String id : List.of("w", "x")) {
             assertEquals(
                     "for " + id + " ",
-                    kept.send(view(id, Sockets.PATIENCE_MS)).receive().text());
+                    kept.send(view(id, GatewaySocketTest.TIMEOUT_MS)).receive().text());
         }
         node.loop().submit(node.drain()::stopServing).sync();
         assertNull(kept.receive());
-        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(GatewaySocketTest.TIMEOUT_MS));
     }
 
     /** Closing the listener resets who stands in its queue: they come while the loop is busy. */
     @Test
     void pendingConnectionsAreServedBeforeYieldingToASuccessor() throws Exception {
-        GatewayServer node = nodeBefore(host(SocketTest::echo));
+        GatewayServer node = gatewayFor(host(GatewaySocketTest::echo));
         CountDownLatch came = new CountDownLatch(1);
         node.loop().execute(() -> {
             try {
-                came.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                came.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        List<Client> waiting = new ArrayList<>();
+        List<TestClient> waiting = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            waiting.add(client(node).send(view("w" + i, Sockets.PATIENCE_MS)));
+            waiting.add(client(node).send(view("w" + i, GatewaySocketTest.TIMEOUT_MS)));
         }
         node.loop().execute(() -> node.drain().begin(true));
         came.countDown();
-        for (Client c : waiting) {
-            Message answer = c.receive();
+        for (TestClient c : waiting) {
+            HttpMessage answer = c.receive();
             assertEquals(200, answer.status());
             assertEquals("close", answer.header("Connection"));
             assertNull(c.receive());
         }
-        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(GatewaySocketTest.TIMEOUT_MS));
     }
 
     /** The next process of a gateway takes clients before the last one leaves. */
     @Test
     void twoGatewaysAcceptClientsAtOneAddress() throws Exception {
-        GatewayServer first = nodeBefore(host(SocketTest::echo));
-        GatewayServer second = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"127.0.0.1:" + first.port() + "\""));
-        ends.push(second::stop);
+        GatewayServer first = gatewayFor(host(GatewaySocketTest::echo));
+        GatewayServer second =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"127.0.0.1:" + first.port() + "\""));
+        closeAtEnd(second::stop);
         first.loop().submit(() -> first.drain().begin(true)).sync();
-        assertTrue(first.drain().awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(first.drain().awaitDrained(GatewaySocketTest.TIMEOUT_MS));
         assertEquals(
                 "for v ",
-                client(second).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(second)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
     }
 
     private static RequestClass timed(double aimMs, double deadlineMs) {
@@ -607,13 +634,13 @@
     /** Nothing may be left open when the process is killed: what still runs then is failed or refused before. */
     @Test
     void requestWithoutAResponseFailsAtTheEndOfADrain() throws Exception {
-        Server host = host((m, s) -> {});
-        GatewayServer node = nodeBefore(host);
-        Client c = client(node).send(order("o", "b"));
+        ScriptedServer host = host((m, s) -> {});
+        GatewayServer node = gatewayFor(host);
+        TestClient c = client(node).send(order("o", "b"));
         assertNotNull(host.next());
         node.loop().submit(() -> node.drain().begin(false)).sync();
         assertEquals(502, c.receive().status());
-        assertTrue(node.drain().awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.drain().awaitDrained(GatewaySocketTest.TIMEOUT_MS));
     }
 
     /** A module that does only what a test says of a request. */
@@ -677,9 +704,10 @@
     }
 
     private GatewayServer scripted(Function<PolicyActions, PolicyEvents> module) throws IOException {
-        registry = kept(new Registry(list(1, true)));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"), module);
-        ends.push(node::stop);
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true)));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0"), module);
+        closeAtEnd(node::stop);
         return node;
     }
 
@@ -692,12 +720,12 @@
         answers.put("error", "HTTP/1.1 500 Broken\r\nX-Quota-Used: 120\r\n");
         answers.put("none", "HTTP/1.1 200 OK\r\n");
         answers.put("noise", "HTTP/1.1 200 OK\r\nX-Quota-Used: -3\r\n");
-        Server host = host((m, s) ->
+        ScriptedServer host = host((m, s) ->
                 s.getOutputStream().write(bytes(answers.get(m.header("X-Trace-Id")) + "Content-Length: 0\r\n\r\n")));
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
         BlockingQueue<AttemptResult> ended = new LinkedBlockingQueue<>();
-        GatewayServer node = Sockets.node(
-                Sockets.config(registry.server.address(), "127.0.0.1:0")
+        GatewayServer node = TestGateways.start(
+                TestGateways.config(discovery.server().address(), "127.0.0.1:0")
                         .replace("\"servers\": []", "\"servers\": [" + entry("h0", host.address(), "ready") + "]"),
                 act -> new Scripted((now, r) -> act.sendAttempt(r.id(), "h0", 0), r -> {
                     ended.add(r);
@@ -705,12 +733,13 @@
                         act.fail(r.requestId());
                     }
                 }));
-        ends.push(node::stop);
-        Client c = client(node);
+        closeAtEnd(node::stop);
+        TestClient c = client(node);
         List<Integer> told = new ArrayList<>();
         for (String id : answers.keySet()) {
-            assertNotNull(c.send(view(id, Sockets.PATIENCE_MS)).receive());
-            told.add(ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS).quotaUsedPercent());
+            assertNotNull(c.send(view(id, GatewaySocketTest.TIMEOUT_MS)).receive());
+            told.add(ended.poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS)
+                    .quotaUsedPercent());
         }
         assertEquals(List.of(87, 1, 121, 0, 0), told);
     }
@@ -724,7 +753,7 @@
             }
             act.reject(r.id(), 100);
         }));
-        Client c = client(node);
+        TestClient c = client(node);
         assertEquals(504, c.send(view("v", 300)).receive().status());
         assertEquals(429, c.send(order("o", "b")).receive().status());
     }
@@ -739,34 +768,37 @@
             act.reject(r.id(), 100);
             act.reject(r.id(), 100);
         }));
-        Client c = client(node);
-        assertEquals(502, c.send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        TestClient c = client(node);
+        assertEquals(
+                502, c.send(view("v", GatewaySocketTest.TIMEOUT_MS)).receive().status());
         assertEquals(429, c.send(order("o", "b")).receive().status());
-        assertEquals(502, c.send(view("w", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                502, c.send(view("w", GatewaySocketTest.TIMEOUT_MS)).receive().status());
     }
 
     /** Idle clients may not use up the descriptors that others need, nor may a busy one be cut off for them. */
     @Test
     void idleConnectionsAreEvictedBeforeDescriptorsRunOut() throws Exception {
         CountDownLatch crowded = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
-                crowded.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                crowded.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"sockets\": 1024", "\"sockets\": 20"));
-        ends.push(node::stop);
-        Client held = client(node).send(view("held", Sockets.PATIENCE_MS));
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"sockets\": 1024", "\"sockets\": 20"));
+        closeAtEnd(node::stop);
+        TestClient held = client(node).send(view("held", GatewaySocketTest.TIMEOUT_MS));
         assertNotNull(host.next());
-        Client first = client(node);
+        TestClient first = client(node);
         for (int i = 0; i < 30; i++) {
             assertEquals(
                     "for v" + i + " ",
                     client(node)
-                            .send(view("v" + i, Sockets.PATIENCE_MS))
+                            .send(view("v" + i, GatewaySocketTest.TIMEOUT_MS))
                             .receive()
                             .text());
         }
@@ -780,9 +812,9 @@
         for (String bad : List.of(
                 "[]",
                 "{}",
-                Sockets.config("nowhere", "127.0.0.1:0"),
-                Sockets.config("127.0.0.1:1", "127.0.0.1:0").replace("by_key", "by_luck"))) {
-            Exception e = assertThrows(RuntimeException.class, () -> Sockets.configured(bad));
+                TestGateways.config("nowhere", "127.0.0.1:0"),
+                TestGateways.config("127.0.0.1:1", "127.0.0.1:0").replace("by_key", "by_luck"))) {
+            Exception e = assertThrows(RuntimeException.class, () -> TestGateways.configured(bad));
             assertEquals(1, e.getMessage().lines().count());
         }
         ConfigurationException missing =
--- a/src/test/java/caperrudder/server/SocketTest.java
+++ b/src/test/java/caperrudder/server/GatewaySocketTest.java
@@ -1,15 +1,11 @@
 package caperrudder.server;
 
-import static caperrudder.server.Sockets.entry;
-import static caperrudder.server.Sockets.list;
-import static caperrudder.server.Sockets.ok;
+import static caperrudder.server.DiscoveryAgent.entry;
+import static caperrudder.server.DiscoveryAgent.list;
+import static caperrudder.server.TestRequests.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Message;
-import caperrudder.server.Sockets.Registry;
-import caperrudder.server.Sockets.Server;
 import io.netty.buffer.PooledByteBufAllocator;
 import java.io.Closeable;
 import java.io.IOException;
@@ -26,8 +22,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
 
-/** A node between real sockets, which all end with the test, and no buffer of which may be lost. */
-public abstract class SocketTest {
+/** A gateway between real sockets, which all end with the test, and no buffer of which may be lost. */
+public abstract class GatewaySocketTest {
+    /** How long a test waits for what must come. */
+    public static final int TIMEOUT_MS = 30_000;
+
     private static final Logger LEAKS = Logger.getLogger("io.netty.util.ResourceLeakDetector");
     private static final List<String> LEAKED = new CopyOnWriteArrayList<>();
     private static final Handler NOTE = new Handler() {
@@ -43,8 +42,8 @@
         public void close() {}
     };
 
-    public final Deque<Closeable> ends = new ArrayDeque<>();
-    public Registry registry;
+    private final Deque<Closeable> resources = new ArrayDeque<>();
+    public DiscoveryAgent discovery;
 
     @BeforeAll
     static void noteLeaks() {
@@ -64,79 +63,78 @@
 
     @AfterEach
     void close() throws IOException {
-        for (Closeable c : ends) {
+        for (Closeable c : resources) {
             c.close();
         }
     }
 
-    public <T extends Closeable> T kept(T end) {
-        ends.push(end);
+    /** Closes it behind the test, before what was given here earlier. */
+    public <T extends Closeable> T closeAtEnd(T end) {
+        resources.push(end);
         return end;
     }
 
-    public Server host(Sockets.Answer answer) throws IOException {
-        return kept(new Server(answer));
+    public ScriptedServer host(ScriptedServer.Script answer) throws IOException {
+        return closeAtEnd(new ScriptedServer(answer));
     }
 
-    public static void echo(Message m, java.net.Socket s) throws IOException {
+    public static void echo(HttpMessage m, java.net.Socket s) throws IOException {
         s.getOutputStream().write(ok("for " + m.header("X-Trace-Id") + " " + m.text()));
     }
 
-    public GatewayServer nodeWith(String... entries) throws IOException {
-        registry = kept(new Registry(list(1, true, entries)));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"));
-        ends.push(node::stop);
-        return node;
+    public GatewayServer gatewayListing(String... entries) throws IOException {
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entries)));
+        GatewayServer gateway =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0"));
+        closeAtEnd(gateway::stop);
+        return gateway;
     }
 
-    public GatewayServer nodeBefore(Server... hosts) throws IOException {
+    public GatewayServer gatewayFor(ScriptedServer... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = entry("h" + i, hosts[i].address(), "ready");
         }
-        return nodeWith(entries);
+        return gatewayListing(entries);
     }
 
-    public Client client(GatewayServer node) throws IOException {
-        return kept(new Client(node));
+    public TestClient client(GatewayServer gateway) throws IOException {
+        return closeAtEnd(new TestClient(gateway));
     }
 
-    /** Keeps the node's event loop busy until the latch is counted down. */
-    static CountDownLatch holdLoop(GatewayServer node) throws InterruptedException {
+    /** Keeps the gateway's event loop busy until the latch is counted down. */
+    static CountDownLatch blockEventLoop(GatewayServer gateway) throws InterruptedException {
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch released = new CountDownLatch(1);
-        node.loop().execute(() -> {
+        gateway.loop().execute(() -> {
             busy.countDown();
             try {
-                released.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                released.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(busy.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(busy.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         return released;
     }
 
-    static void awaitClock(GatewayServer node, double ms) {
-        while (node.clock().now() < ms) {
+    static void awaitClock(GatewayServer gateway, double ms) {
+        while (gateway.clock().now() < ms) {
             Thread.onSpinWait();
         }
     }
 
-    static void awaitCurrent(GatewayServer node, long count) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (node.metrics().openRequests() != count) {
+    static void awaitOpenRequests(GatewayServer gateway, long count) throws Exception {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+        while (gateway.metrics().openRequests() != count) {
             assertTrue(System.nanoTime() < end, "not " + count + " requests open");
             Thread.onSpinWait();
         }
     }
 
     public void awaitWatches(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (registry.server.asked.stream()
-                        .filter(m -> m.start().contains("from="))
-                        .count()
-                < count) {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+        while (discovery.watches() < count) {
             assertTrue(System.nanoTime() < end, "no watch came");
             Thread.sleep(5);
         }
--- a/src/test/java/caperrudder/server/LateConnectionTest.java
+++ b/src/test/java/caperrudder/server/LateConnectionTest.java
@@ -1,13 +1,10 @@
 package caperrudder.server;
 
-import static caperrudder.server.Sockets.entry;
-import static caperrudder.server.Sockets.list;
-import static caperrudder.server.Sockets.view;
+import static caperrudder.server.DiscoveryAgent.entry;
+import static caperrudder.server.DiscoveryAgent.list;
+import static caperrudder.server.TestRequests.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Registry;
-import caperrudder.server.Sockets.Server;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -24,7 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What comes between the start of a connection to a host and its end: it comes up only when a test lets it. */
-class LateConnectionTest extends SocketTest {
+class LateConnectionTest extends GatewaySocketTest {
 
     /** A host that takes connections only once it is let: until then its queue is full. */
     private static final class Shut implements Closeable {
@@ -55,10 +52,10 @@
             for (int i = 0; i < standing; i++) {
                 listener.accept().close();
             }
-            listener.setSoTimeout(Sockets.PATIENCE_MS);
+            listener.setSoTimeout(GatewaySocketTest.TIMEOUT_MS);
             try (Socket s = listener.accept()) {
                 meanwhile.close();
-                s.setSoTimeout(Sockets.PATIENCE_MS);
+                s.setSoTimeout(GatewaySocketTest.TIMEOUT_MS);
                 return new String(s.getInputStream().readNBytes(bytes), StandardCharsets.US_ASCII);
             }
         }
@@ -80,35 +77,38 @@
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone"})
     void connectionUpAfterItsHostDrainsCarriesNothing(String state) throws Exception {
-        Shut late = kept(new Shut());
-        Server fresh = host(SocketTest::echo);
-        GatewayServer node = nodeWith(entry("h0", late.address(), "ready"));
+        Shut late = closeAtEnd(new Shut());
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayListing(entry("h0", late.address(), "ready"));
         awaitWatches(1);
-        Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
-        awaitCurrent(node, 1);
-        registry.news.add(list(2, false, entry("h0", late.address(), state), entry("h1", fresh.address(), "ready")));
+        TestClient c = client(node).send(view("v", GatewaySocketTest.TIMEOUT_MS));
+        awaitOpenRequests(node, 1);
+        discovery
+                .updates()
+                .add(list(2, false, entry("h0", late.address(), state), entry("h1", fresh.address(), "ready")));
         awaitWatches(2);
         assertEquals("", late.first(1));
         assertEquals("for v ", c.receive().text());
-        assertEquals(1, fresh.asked.size());
+        assertEquals(1, fresh.requests().size());
     }
 
     /** Where attempts may not be cancelled its connection still comes up; nothing was sent that could be cancelled. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void requestIsNotSentWhenItsClientLeavesDuringAConnect(boolean cancel) throws Exception {
-        Shut late = kept(new Shut());
-        registry = kept(new Registry(list(1, true, entry("h0", late.address(), "ready"))));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"cancel\": true", "\"cancel\": " + cancel));
-        ends.push(node::stop);
-        Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
-        awaitCurrent(node, 1);
+        Shut late = closeAtEnd(new Shut());
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entry("h0", late.address(), "ready"))));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"cancel\": true", "\"cancel\": " + cancel));
+        closeAtEnd(node::stop);
+        TestClient c = client(node).send(view("v", GatewaySocketTest.TIMEOUT_MS));
+        awaitOpenRequests(node, 1);
         c.close();
-        awaitCurrent(node, 0);
+        awaitOpenRequests(node, 0);
         if (cancel) { // else nothing would come
-            Client next = client(node).send(view("w", Sockets.PATIENCE_MS));
-            awaitCurrent(node, 1);
+            TestClient next = client(node).send(view("w", GatewaySocketTest.TIMEOUT_MS));
+            awaitOpenRequests(node, 1);
             assertEquals("GET /view/w?z=3", late.first("GET /view/w?z=3".length()));
             next.close();
         } else {
@@ -119,12 +119,12 @@
     /** The loop comes to the connection first, and only then to the client that left meanwhile. */
     @Test
     void requestIsNotSentWhenItsClientsEndIsUnreadAtTheConnect() throws Exception {
-        Shut late = kept(new Shut());
-        GatewayServer node = nodeWith(entry("h0", late.address(), "ready"));
+        Shut late = closeAtEnd(new Shut());
+        GatewayServer node = gatewayListing(entry("h0", late.address(), "ready"));
         awaitWatches(1);
-        Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
-        awaitCurrent(node, 1);
-        CountDownLatch left = holdLoop(node);
+        TestClient c = client(node).send(view("v", GatewaySocketTest.TIMEOUT_MS));
+        awaitOpenRequests(node, 1);
+        CountDownLatch left = blockEventLoop(node);
         assertEquals("", late.first(1, () -> {
             c.close();
             left.countDown();
--- a/src/test/java/caperrudder/server/LeavingClientTest.java
+++ b/src/test/java/caperrudder/server/LeavingClientTest.java
@@ -1,17 +1,14 @@
 package caperrudder.server;
 
-import static caperrudder.server.Sockets.bytes;
-import static caperrudder.server.Sockets.entry;
-import static caperrudder.server.Sockets.list;
-import static caperrudder.server.Sockets.view;
+import static caperrudder.server.DiscoveryAgent.entry;
+import static caperrudder.server.DiscoveryAgent.list;
+import static caperrudder.server.TestRequests.bytes;
+import static caperrudder.server.TestRequests.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Message;
-import caperrudder.server.Sockets.Server;
 import caperrudder.server.admin.MetricsSnapshot;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -19,26 +16,26 @@
 import org.junit.jupiter.api.Test;
 
 /** A request whose client leaves while it waits is not sent on; under a new connection: {@link LateConnectionTest}. */
-class LeavingClientTest extends SocketTest {
-    private static final int TIME = Sockets.PATIENCE_MS;
+class LeavingClientTest extends GatewaySocketTest {
+    private static final int TIME = GatewaySocketTest.TIMEOUT_MS;
 
     /** From now on there is a host, and only what another client asks comes to it. */
     private void assertOnlyOthersAreServed(GatewayServer node, int watches) throws Exception {
-        Server host = host(SocketTest::echo);
-        registry.news.add(list(9, false, entry("late", host.address(), "ready")));
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        discovery.updates().add(list(9, false, entry("late", host.address(), "ready")));
         awaitWatches(watches + 1);
         assertEquals("for w ", client(node).send(view("w", TIME)).receive().text());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
     }
 
     @Test
     void clientLeftInTheQueueIsNotSentFor() throws Exception {
-        GatewayServer node = nodeWith();
+        GatewayServer node = gatewayListing();
         awaitWatches(1);
-        Client c = client(node).send(view("v", TIME));
-        awaitCurrent(node, 1);
+        TestClient c = client(node).send(view("v", TIME));
+        awaitOpenRequests(node, 1);
         c.close();
-        awaitCurrent(node, 0);
+        awaitOpenRequests(node, 0);
         assertOnlyOthersAreServed(node, 1);
     }
 
@@ -46,77 +43,77 @@
     void clientLeftBetweenTwoAttemptsIsNotSentFor() throws Exception {
         CountDownLatch noOther = new CountDownLatch(1);
         CountDownLatch turnedAway = new CountDownLatch(1);
-        Server full = host((m, s) -> {
+        ScriptedServer full = host((m, s) -> {
             noOther.await(TIME, TimeUnit.MILLISECONDS);
             s.getOutputStream().write(bytes("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
             turnedAway.countDown();
         });
-        GatewayServer node = nodeBefore(full);
+        GatewayServer node = gatewayFor(full);
         awaitWatches(1);
-        Client c = client(node).send(view("v", TIME));
+        TestClient c = client(node).send(view("v", TIME));
         assertNotNull(full.next());
-        awaitCurrent(node, 1);
-        registry.news.add(list(2, false, entry("h0", full.address(), "draining")));
+        awaitOpenRequests(node, 1);
+        discovery.updates().add(list(2, false, entry("h0", full.address(), "draining")));
         awaitWatches(2);
         noOther.countDown();
         turnedAway.await(TIME, TimeUnit.MILLISECONDS);
         c.close();
-        awaitCurrent(node, 0);
+        awaitOpenRequests(node, 0);
         assertOnlyOthersAreServed(node, 2);
     }
 
     /** A connection that was not read did not tell that its client had left: the request went out all the same. */
     @Test
     void clientLeftWhilePipeliningPausesReadingIsNotSentFor() throws Exception {
-        GatewayServer node = nodeWith();
+        GatewayServer node = gatewayListing();
         awaitWatches(1);
         StringBuilder ahead = new StringBuilder();
         for (int i = 0; i < 24; i++) { // more than are read ahead
             ahead.append(view("v" + i, TIME));
         }
-        Client c = client(node).send(ahead.toString());
-        awaitCurrent(node, 1);
+        TestClient c = client(node).send(ahead.toString());
+        awaitOpenRequests(node, 1);
         c.close();
-        awaitCurrent(node, 0);
+        awaitOpenRequests(node, 0);
         assertOnlyOthersAreServed(node, 1);
     }
 
     @Test
     void clientLeftWhileBadRequestsPauseReadingIsNotSentFor() throws Exception {
-        GatewayServer node = nodeWith();
+        GatewayServer node = gatewayListing();
         awaitWatches(1);
         String bad = view("b", TIME).replace("units=1", "units=x");
-        Client c = client(node).send(bad + bad + bad + view("v", TIME));
-        awaitCurrent(node, 1);
+        TestClient c = client(node).send(bad + bad + bad + view("v", TIME));
+        awaitOpenRequests(node, 1);
         c.close();
-        awaitCurrent(node, 0);
+        awaitOpenRequests(node, 0);
         assertOnlyOthersAreServed(node, 1);
     }
 
     /** What was kept of it while it was not read comes in its order, whole. */
     @Test
     void pipelinedRequestsOfAStayingClientAreServed() throws Exception {
-        GatewayServer node = nodeWith();
+        GatewayServer node = gatewayListing();
         awaitWatches(1);
         StringBuilder ahead = new StringBuilder();
         for (int i = 0; i < 100; i++) {
             ahead.append(view("v" + i, TIME));
         }
-        Client c = client(node).send(ahead.toString());
-        awaitCurrent(node, 1);
-        Server host = host(SocketTest::echo);
-        registry.news.add(list(9, false, entry("late", host.address(), "ready")));
+        TestClient c = client(node).send(ahead.toString());
+        awaitOpenRequests(node, 1);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        discovery.updates().add(list(9, false, entry("late", host.address(), "ready")));
         for (int i = 0; i < 100; i++) {
             assertEquals("for v" + i + " ", c.receive().text());
         }
     }
 
     /** Besides "u", which came before, the host is asked only what a client asks that stays. */
-    private static void assertAskedOnlyThese(Server host, Client stays) throws Exception {
+    private static void assertAskedOnlyThese(ScriptedServer host, TestClient stays) throws Exception {
         assertEquals("for w ", stays.send(view("w", TIME)).receive().text());
         assertEquals(
                 List.of("u", "w"),
-                host.asked.stream().map(m -> m.header("X-Trace-Id")).toList());
+                host.requests().stream().map(m -> m.header("X-Trace-Id")).toList());
     }
 
     private static String views(int bytes) {
@@ -130,12 +127,12 @@
     /** With more than 4 KiB unread behind the request that waits its client's end was not seen. */
     @Test
     void clientLeftBehindManyPipelinedBytesIsNotSentFor() throws Exception {
-        GatewayServer node = nodeWith();
+        GatewayServer node = gatewayListing();
         awaitWatches(1);
-        Client c = client(node).send(views(100_000));
-        awaitCurrent(node, 1);
+        TestClient c = client(node).send(views(100_000));
+        awaitOpenRequests(node, 1);
         c.close();
-        awaitCurrent(node, 0);
+        awaitOpenRequests(node, 0);
         MetricsSnapshot.EndedRequests views = node.metrics().classes().get(0);
         assertEquals(List.of(0L, 1L), List.of(views.deferred(), views.errored()), "refused when its time was up");
         assertOnlyOthersAreServed(node, 1);
@@ -143,13 +140,13 @@
 
     /** Nothing tells that it has left before the attempt of its first request is to begin. */
     private void assertNoAttemptOnceItLeft(String sent) throws Exception {
-        GatewayServer node = nodeWith();
+        GatewayServer node = gatewayListing();
         awaitWatches(1);
-        Client c = client(node).send(sent);
-        awaitCurrent(node, 1);
+        TestClient c = client(node).send(sent);
+        awaitOpenRequests(node, 1);
         c.close();
         assertOnlyOthersAreServed(node, 1);
-        awaitCurrent(node, 0);
+        awaitOpenRequests(node, 0);
     }
 
     /** Nor is it where more stands unread than is kept of one client: that is read away before an attempt begins. */
@@ -161,20 +158,20 @@
     /** Behind a request that waits a long body is no reason to stop reading: its client may leave, too. */
     @Test
     void clientLeftBehindALongPipelinedBodyIsNotSentFor() throws Exception {
-        assertNoAttemptOnceItLeft(view("v", TIME) + Sockets.order("o", "x".repeat(200_000)));
+        assertNoAttemptOnceItLeft(view("v", TIME) + TestRequests.order("o", "x".repeat(200_000)));
     }
 
     /** What was kept is served in its order; what came beyond is refused, and the connection ends. */
     @Test
     void clientStayingBehindMoreThanIsKeptIsServedWhatWasKept() throws Exception {
-        GatewayServer node = nodeWith();
+        GatewayServer node = gatewayListing();
         awaitWatches(1);
-        Client c = client(node).send(views(250_000));
-        awaitCurrent(node, 1);
-        Server host = host(SocketTest::echo);
-        registry.news.add(list(9, false, entry("late", host.address(), "ready")));
+        TestClient c = client(node).send(views(250_000));
+        awaitOpenRequests(node, 1);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        discovery.updates().add(list(9, false, entry("late", host.address(), "ready")));
         int served = 0;
-        Message answer = c.receive();
+        HttpMessage answer = c.receive();
         for (; answer.status() == 200; answer = c.receive()) {
             assertEquals("for v" + served + " ", answer.text());
             served++;
@@ -188,38 +185,39 @@
     /** Its request would be sent on to a host that waits for its end. */
     @Test
     void longBodyCutOffBehindOtherRequestsReachesNoHost() throws Exception {
-        registry = kept(new Sockets.Registry(list(1, true)));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"memory_mb\": 192", "\"memory_mb\": 1"));
-        ends.push(node::stop);
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true)));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"memory_mb\": 192", "\"memory_mb\": 1"));
+        closeAtEnd(node::stop);
         awaitWatches(1);
         String ahead = "";
         for (int i = 0; i < 16; i++) {
             ahead += view("v" + i, TIME);
         }
-        Client c = client(node).send(ahead + Sockets.order("o", "x".repeat(200_000)));
-        awaitCurrent(node, 1);
-        Server host = host(SocketTest::echo);
-        registry.news.add(list(9, false, entry("late", host.address(), "ready")));
+        TestClient c = client(node).send(ahead + TestRequests.order("o", "x".repeat(200_000)));
+        awaitOpenRequests(node, 1);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        discovery.updates().add(list(9, false, entry("late", host.address(), "ready")));
         for (int i = 0; i < 16; i++) {
             assertEquals("for v" + i + " ", c.receive().text());
         }
         assertEquals(503, c.receive().status());
-        assertEquals(16, host.asked.size());
+        assertEquals(16, host.requests().size());
     }
 
     /** Whatever brings the attempt about (a timer, an answer, a word of a peer), the loop may be late to the socket. */
     @Test
     void clientWhoseEndIsUnreadAtAnAttemptIsNotSentFor() throws Exception {
-        Server host = host(SocketTest::echo);
-        GatewayServer node = nodeBefore(host);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(host);
         awaitWatches(1);
         assertEquals("for u ", client(node).send(view("u", TIME)).receive().text());
         double rested = node.clock().now() + 50; // its connection may carry the next
-        registry.news.add(list(8, false, entry("h0", host.address(), "draining")));
+        discovery.updates().add(list(8, false, entry("h0", host.address(), "draining")));
         awaitWatches(2);
-        Client c = client(node).send(view("v", TIME));
-        awaitCurrent(node, 1);
+        TestClient c = client(node).send(view("v", TIME));
+        awaitOpenRequests(node, 1);
         awaitClock(node, rested);
         node.loop()
                 .submit(() -> {
@@ -228,8 +226,8 @@
                     return null;
                 })
                 .sync();
-        awaitCurrent(node, 0);
-        registry.news.add(list(9, false, entry("h0", host.address(), "ready")));
+        awaitOpenRequests(node, 0);
+        discovery.updates().add(list(9, false, entry("h0", host.address(), "ready")));
         awaitWatches(3);
         assertAskedOnlyThese(host, client(node));
     }
@@ -237,13 +235,13 @@
     /** The request and its client's end were read one after the other, and the attempt began between the two. */
     @Test
     void clientWhoseRequestAndEndWereUnreadTogetherIsNotSentFor() throws Exception {
-        Server host = host(SocketTest::echo);
-        GatewayServer node = nodeBefore(host);
-        Client other = client(node);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(host);
+        TestClient other = client(node);
         assertEquals("for u ", other.send(view("u", TIME)).receive().text());
-        Client c = client(node).send("GET /healthz HTTP/1.1\r\n\r\n");
+        TestClient c = client(node).send("GET /healthz HTTP/1.1\r\n\r\n");
         assertEquals(200, c.receive().status());
-        CountDownLatch left = holdLoop(node);
+        CountDownLatch left = blockEventLoop(node);
         c.send(view("v", TIME)).close();
         awaitClock(node, node.clock().now() + 200);
         left.countDown();
@@ -253,15 +251,15 @@
     /** What was kept in a pause comes from a client that may have left behind more that was not kept. */
     @Test
     void clientLeftInTheBadRequestPauseBehindMoreThanIsKeptIsNotSentFor() throws Exception {
-        Server host = host(SocketTest::echo);
-        GatewayServer node = nodeBefore(host);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(host);
         assertEquals("for u ", client(node).send(view("u", TIME)).receive().text());
         String bad = view("b", TIME).replace("units=1", "units=x");
-        Client c = client(node).send(bad + bad);
+        TestClient c = client(node).send(bad + bad);
         assertEquals(400, c.receive().status());
         assertEquals(400, c.receive().status());
         double over = node.clock().now() + 500;
-        CountDownLatch left = holdLoop(node);
+        CountDownLatch left = blockEventLoop(node);
         c.send(views(250_000)).close();
         left.countDown();
         awaitClock(node, over);
@@ -271,16 +269,16 @@
     /** A body on its way was passed on to its last byte, with which its attempt begins, before its client's end. */
     @Test
     void clientLeftRightBehindALongBodyIsNotSentFor() throws Exception {
-        Server host = host(SocketTest::echo);
-        GatewayServer node = nodeBefore(host);
-        Client other = client(node);
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayFor(host);
+        TestClient other = client(node);
         assertEquals("for u ", other.send(view("u", TIME)).receive().text());
         double rested = node.clock().now() + 50;
         awaitClock(node, rested);
-        CountDownLatch left = holdLoop(node);
-        client(node).send(Sockets.order("o", "x".repeat(100_000))).close();
+        CountDownLatch left = blockEventLoop(node);
+        client(node).send(TestRequests.order("o", "x".repeat(100_000))).close();
         left.countDown();
-        assertNotNull(host.ended.poll(TIME, TimeUnit.MILLISECONDS)); // what had begun was given up
+        assertNotNull(host.ended().poll(TIME, TimeUnit.MILLISECONDS)); // what had begun was given up
         assertAskedOnlyThese(host, other);
     }
 }
--- a/src/test/java/caperrudder/server/RepeatTest.java
+++ b/src/test/java/caperrudder/server/RepeatTest.java
@@ -1,15 +1,11 @@
 package caperrudder.server;
 
-import static caperrudder.server.Sockets.bytes;
-import static caperrudder.server.Sockets.entry;
-import static caperrudder.server.Sockets.list;
-import static caperrudder.server.Sockets.order;
+import static caperrudder.server.DiscoveryAgent.entry;
+import static caperrudder.server.DiscoveryAgent.list;
+import static caperrudder.server.TestRequests.bytes;
+import static caperrudder.server.TestRequests.order;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Message;
-import caperrudder.server.Sockets.Registry;
-import caperrudder.server.Sockets.Server;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.Map;
@@ -19,8 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What may have run is repeated only as the effect in the settings permits, however its first attempt ends. */
-class RepeatTest extends SocketTest {
-    private static final Map<String, Sockets.Answer> ENDS = Map.of(
+class RepeatTest extends GatewaySocketTest {
+    private static final Map<String, ScriptedServer.Script> ENDS = Map.of(
             "reset",
                     (m, s) -> {
                         s.setSoLinger(true, 0);
@@ -39,22 +35,23 @@
                     (m, s) -> s.getOutputStream() // without the word that it never ran
                             .write(bytes("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")));
 
-    private GatewayServer node(String effect, Server... hosts) throws IOException {
+    private GatewayServer node(String effect, ScriptedServer... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = entry("h" + i, hosts[i].address(), "ready");
         }
-        registry = kept(new Registry(list(1, true, entries)));
-        GatewayServer node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
-                .replace("\"effect\": \"by_key\"", "\"effect\": \"" + effect + "\""));
-        ends.push(node::stop);
+        discovery = closeAtEnd(new DiscoveryAgent(list(1, true, entries)));
+        GatewayServer node =
+                TestGateways.start(TestGateways.config(discovery.server().address(), "127.0.0.1:0")
+                        .replace("\"effect\": \"by_key\"", "\"effect\": \"" + effect + "\""));
+        closeAtEnd(node::stop);
         return node;
     }
 
-    private static void firstBy(String end, AtomicInteger asked, Message m, Socket s)
+    private static void firstBy(String end, AtomicInteger asked, HttpMessage m, Socket s)
             throws IOException, InterruptedException {
         if (asked.incrementAndGet() == 1) {
-            ENDS.get(end).to(m, s);
+            ENDS.get(end).answer(m, s);
         } else {
             echo(m, s);
         }
@@ -79,8 +76,8 @@
     })
     void requestThatMayHaveRunIsRetriedOnlyAsItsIdempotencyPermits(String effect, String end) throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        Server host = host((m, s) -> firstBy(end, asked, m, s));
-        Message answer = client(node(effect, host)).send(order("o", "b")).receive();
+        ScriptedServer host = host((m, s) -> firstBy(end, asked, m, s));
+        HttpMessage answer = client(node(effect, host)).send(order("o", "b")).receive();
         boolean once = effect.equals("once");
         assertEquals(once ? 502 : 200, answer.status()); // failed: refusing would say that trying again is harmless
         assertEquals(once ? 1 : 2, asked.get());
@@ -90,30 +87,30 @@
     @ParameterizedTest
     @CsvSource({"once", "by_key"})
     void requestThatNeverRanIsRetriedOnAnotherHost(String effect) throws Exception {
-        Server full = host((m, s) ->
+        ScriptedServer full = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
-        Server good = host(SocketTest::echo);
+        ScriptedServer good = host(GatewaySocketTest::echo);
         GatewayServer node = node(effect, full, good);
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     "for o" + i + " b",
                     client(node).send(order("o" + i, "b")).receive().text());
         }
-        assertEquals(10, good.asked.size());
+        assertEquals(10, good.requests().size());
     }
 
     /** A host ends each connection right behind its answer: none of those may carry the next request. */
     @Test
     void connectionClosedInThePoolCostsNoRequest() throws Exception {
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             echo(m, s);
             s.close();
         });
-        Client c = client(node("once", host));
+        TestClient c = client(node("once", host));
         for (int i = 0; i < 50; i++) {
             assertEquals(
                     "for o" + i + " b", c.send(order("o" + i, "b")).receive().text());
         }
-        assertEquals(50, host.asked.size());
+        assertEquals(50, host.requests().size());
     }
 }
--- a/src/test/java/caperrudder/server/StreamingTest.java
+++ b/src/test/java/caperrudder/server/StreamingTest.java
@@ -1,18 +1,15 @@
 package caperrudder.server;
 
-import static caperrudder.server.Sockets.bytes;
-import static caperrudder.server.Sockets.headers;
-import static caperrudder.server.Sockets.order;
-import static caperrudder.server.Sockets.view;
+import static caperrudder.server.TestRequests.bytes;
+import static caperrudder.server.TestRequests.headers;
+import static caperrudder.server.TestRequests.order;
+import static caperrudder.server.TestRequests.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Message;
-import caperrudder.server.Sockets.Server;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -28,12 +25,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Bodies and answers too long to be held: they pass as they come, and no faster than the other side takes them. */
-class StreamingTest extends SocketTest {
+class StreamingTest extends GatewaySocketTest {
     private static final int LONG = 3 << 20;
     private static final int PIECE = 32 * 1024;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
-    private static final String ORDER =
-            "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", Sockets.PATIENCE_MS) + "Idempotency-Key: k\r\n";
+    private static final String ORDER = "POST /order/x HTTP/1.1\r\nHost: h\r\n"
+            + headers("o", GatewaySocketTest.TIMEOUT_MS) + "Idempotency-Key: k\r\n";
 
     private static byte[] content(int length) {
         byte[] all = new byte[length];
@@ -83,21 +80,22 @@
     @Test
     void longBodyAndLongResponsePassUnchangedAndConnectionsServeOn() throws Exception {
         byte[] answer = content(LONG);
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "Content-Length: " + answer.length + "\r\n\r\n"));
             s.getOutputStream().write(answer);
         });
-        Client c = client(nodeBefore(host));
+        TestClient c = client(gatewayFor(host));
         for (String id : List.of("a", "b")) {
-            Message got = c.send(order(id, text(content(LONG + 1)))).receive();
+            HttpMessage got = c.send(order(id, text(content(LONG + 1)))).receive();
             assertEquals(200, got.status());
             assertEquals(text(answer), got.text());
-            Message asked = host.next();
+            HttpMessage asked = host.next();
             assertEquals(text(content(LONG + 1)), asked.text());
             assertEquals(id, asked.header("X-Trace-Id"));
         }
         assertEquals(
-                text(answer), c.send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                text(answer),
+                c.send(view("v", GatewaySocketTest.TIMEOUT_MS)).receive().text());
     }
 
     /** With extensions and trailers, with no length at all, and in pieces. */
@@ -105,7 +103,7 @@
     @ValueSource(strings = {"chunked", "close"})
     void responseOfUnknownLengthIsStreamedInChunks(String form) throws Exception {
         byte[] answer = content(10 * PIECE);
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             boolean chunked = form.equals("chunked");
             s.getOutputStream().write(bytes(OK + (chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n")));
             for (int i = 0; i < answer.length; i += PIECE) {
@@ -119,27 +117,27 @@
                 s.close();
             }
         });
-        Client c = client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS));
-        String head = head(c.socket.getInputStream());
+        TestClient c = client(gatewayFor(host)).send(view("v", GatewaySocketTest.TIMEOUT_MS));
+        String head = head(c.socket().getInputStream());
         assertTrue(head.startsWith("HTTP/1.1 200")
                 && head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked"));
-        assertEquals(text(answer), dechunked(c.socket.getInputStream()));
+        assertEquals(text(answer), dechunked(c.socket().getInputStream()));
     }
 
     /** A short one whose end is the connection's was once taken for a broken one. */
     @Test
     void shortResponseEndedByItsConnectionIsServed() throws Exception {
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "\r\nall of it"));
             s.close();
         });
         assertEquals(
                 "all of it",
-                client(nodeBefore(host))
-                        .send(view("v", Sockets.PATIENCE_MS))
+                client(gatewayFor(host))
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
                         .receive()
                         .text());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
     }
 
     /** Nothing holds it whole: who does not read stops the host from writing, and gets all of it later. */
@@ -148,15 +146,15 @@
         AtomicLong written = new AtomicLong();
         byte[] piece = content(PIECE);
         int pieces = 1024; // 32 MB: far more than the sockets between hold
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "Content-Length: " + (long) pieces * PIECE + "\r\n\r\n"));
             for (int i = 0; i < pieces; i++) {
                 s.getOutputStream().write(piece);
                 written.addAndGet(PIECE);
             }
         });
-        Client c = client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS));
-        InputStream in = c.socket.getInputStream();
+        TestClient c = client(gatewayFor(host)).send(view("v", GatewaySocketTest.TIMEOUT_MS));
+        InputStream in = c.socket().getInputStream();
         assertTrue(head(in).startsWith("HTTP/1.1 200"));
         long before = -1;
         for (long now = written.get(); now != before; now = written.get()) { // until it stands still
@@ -167,28 +165,28 @@
         for (int i = 0; i < pieces; i++) {
             assertEquals(text(piece), text(in.readNBytes(PIECE)));
         }
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
     }
 
     /** The client must be able to tell, and nobody may be asked again once a part has gone out. */
     @Test
     void brokenStreamedResponseEndsTheClientsConnectionInsideIt() throws Exception {
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "Content-Length: " + LONG + "\r\n\r\n"));
             s.getOutputStream().write(content(LONG / 2));
             s.close();
         });
-        GatewayServer node = nodeBefore(host);
-        Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
-        assertTrue(head(c.socket.getInputStream()).startsWith("HTTP/1.1 200"));
+        GatewayServer node = gatewayFor(host);
+        TestClient c = client(node).send(view("v", GatewaySocketTest.TIMEOUT_MS));
+        assertTrue(head(c.socket().getInputStream()).startsWith("HTTP/1.1 200"));
         int got = 0;
         try {
-            got = c.socket.getInputStream().readAllBytes().length;
+            got = c.socket().getInputStream().readAllBytes().length;
         } catch (IOException reset) {
             got = -1;
         }
         assertTrue(got < LONG);
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
         assertEquals(
                 1,
                 node.loop()
@@ -200,25 +198,25 @@
     @Test
     void brokenStreamedResponseOfUnknownLengthIsReset() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "Transfer-Encoding: chunked\r\n\r\n40000\r\n"));
             s.getOutputStream().write(content(0x40000));
-            begun.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            begun.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             s.close();
         });
-        Client c = client(nodeBefore(host));
-        c.send(view("v", Sockets.PATIENCE_MS).replace("HTTP/1.1", "HTTP/1.0"));
-        assertTrue(head(c.socket.getInputStream()).startsWith("HTTP/1.1 200"));
-        assertEquals(0x40000, c.socket.getInputStream().readNBytes(0x40000).length);
+        TestClient c = client(gatewayFor(host));
+        c.send(view("v", GatewaySocketTest.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0"));
+        assertTrue(head(c.socket().getInputStream()).startsWith("HTTP/1.1 200"));
+        assertEquals(0x40000, c.socket().getInputStream().readNBytes(0x40000).length);
         begun.countDown();
-        assertThrows(IOException.class, () -> c.socket.getInputStream().read());
+        assertThrows(IOException.class, () -> c.socket().getInputStream().read());
     }
 
     /** A length that is a lie once got the host's answer to the client, and nobody else was asked. */
     @Test
     void responseThatOnlyAnnouncesALengthIsRetriedOnAnotherHost() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             if (asked.incrementAndGet() > 1) {
                 echo(m, s);
                 return;
@@ -227,7 +225,7 @@
         });
         assertEquals(
                 "for o b",
-                client(nodeBefore(host)).send(order("o", "b")).receive().text());
+                client(gatewayFor(host)).send(order("o", "b")).receive().text());
         assertEquals(2, asked.get());
     }
 
@@ -235,7 +233,7 @@
     @Test
     void slowResponseIsNotCutOff() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             asked.incrementAndGet();
             s.getOutputStream().write(bytes(OK + "Content-Length: 20\r\n\r\n"));
             for (int i = 0; i < 20; i++) {
@@ -243,7 +241,7 @@
                 s.getOutputStream().write('a' + i);
             }
         });
-        Client c = client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS));
+        TestClient c = client(gatewayFor(host)).send(view("v", GatewaySocketTest.TIMEOUT_MS));
         assertEquals("abcdefghijklmnopqrst", c.receive().text());
         assertEquals(1, asked.get());
     }
@@ -252,24 +250,24 @@
     @Test
     void longBodyIsStreamedAsItComes() throws Exception {
         CountDownLatch arriving = new CountDownLatch(1);
-        Server host = host((m, s) -> {});
+        ScriptedServer host = host((m, s) -> {});
         byte[] body = content(LONG);
-        Server raw = rawHost(arriving);
-        GatewayServer node = nodeBefore(raw);
-        Client c = client(node)
+        ScriptedServer raw = rawHost(arriving);
+        GatewayServer node = gatewayFor(raw);
+        TestClient c = client(node)
                 .send(ORDER + "Content-Length: " + LONG + "\r\n\r\n"
                         + text(body).substring(0, LONG / 2));
-        assertTrue(arriving.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS), "nothing went on");
+        assertTrue(arriving.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS), "nothing went on");
         assertEquals(0, node.metrics().openRequests());
         c.send(text(body).substring(LONG / 2));
         assertEquals(text(body), c.receive().text());
-        assertEquals(0, host.asked.size());
+        assertEquals(0, host.requests().size());
     }
 
     /** A host that tells when the first bytes of a body have come, and gives the body back. */
-    private Server rawHost(CountDownLatch arriving) throws IOException {
+    private ScriptedServer rawHost(CountDownLatch arriving) throws IOException {
         java.net.ServerSocket listener = new java.net.ServerSocket(0, 5, java.net.InetAddress.getLoopbackAddress());
-        ends.push(listener);
+        closeAtEnd(listener);
         Thread t = new Thread(() -> {
             try (Socket s = listener.accept()) {
                 String head = head(s.getInputStream());
@@ -287,7 +285,7 @@
         });
         t.setDaemon(true);
         t.start();
-        return new Server((m, s) -> {}) {
+        return new ScriptedServer((m, s) -> {}) {
             @Override
             public String address() {
                 return "127.0.0.1:" + listener.getLocalPort();
@@ -297,8 +295,8 @@
 
     @Test
     void rejectedLongBodyIsReadAwayAndItsConnectionServesOn() throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        TestClient c = client(gatewayFor(host));
         String tiny = order("t", text(content(LONG))).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         assertEquals(
@@ -306,51 +304,52 @@
                 c.send(tiny.replace("X-Trace-Id: t", "X-Trace-Id: u")).receive().status());
         assertEquals(
                 "for w ",
-                c.send(view("w", Sockets.PATIENCE_MS).replace("b4d65521", "b4d65522"))
+                c.send(view("w", GatewaySocketTest.TIMEOUT_MS).replace("b4d65521", "b4d65522"))
                         .receive()
                         .text());
-        assertEquals(2, host.asked.size());
+        assertEquals(2, host.requests().size());
     }
 
     /** Sent in part and kept nowhere, it can't be sent again, whatever its class allows. */
     @Test
     void longBodyIsNeverRetriedOncePartOfItWasSent() throws Exception {
-        Server host = host((m, s) ->
+        ScriptedServer host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
-        Client c = client(nodeBefore(host)).send(order("o", text(content(LONG))));
+        TestClient c = client(gatewayFor(host)).send(order("o", text(content(LONG))));
         assertEquals(429, c.receive().status());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests().size());
     }
 
     /** No part has left for a host that takes no connection: another gets all of it. */
     @Test
     void longBodyIsRetriedWhenTheFirstHostRefusesConnections() throws Exception {
-        Server host = host(SocketTest::echo);
-        GatewayServer node =
-                nodeWith(Sockets.entry("dead", "127.0.0.1:1", "ready"), Sockets.entry("live", host.address(), "ready"));
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayListing(
+                DiscoveryAgent.entry("dead", "127.0.0.1:1", "ready"),
+                DiscoveryAgent.entry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             String body = text(content(200_000));
             assertEquals(
                     "for o" + i + " " + body,
                     client(node).send(order("o" + i, body)).receive().text());
         }
-        assertEquals(10, host.asked.size());
+        assertEquals(10, host.requests().size());
     }
 
     @Test
     void clientThatStopsInsideALongBodyTimesOut() throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c =
-                client(nodeBefore(host)).send(ORDER + "Content-Length: " + LONG + "\r\n\r\n" + text(content(LONG / 4)));
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        TestClient c =
+                client(gatewayFor(host)).send(ORDER + "Content-Length: " + LONG + "\r\n\r\n" + text(content(LONG / 4)));
         assertEquals(408, c.receive().status());
         assertNull(c.receive());
-        assertEquals(0, host.asked.size());
-        assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals(0, host.requests().size());
+        assertNotNull(host.ended().poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     @Test
     void longBodyIsRequestedFromAClientThatExpectsContinue() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        TestClient c = client(gatewayFor(host(GatewaySocketTest::echo)));
         c.send(ORDER + "Content-Length: " + LONG + "\r\nExpect: 100-continue\r\n\r\n");
         assertEquals(100, c.receive().status());
         assertEquals(
@@ -376,14 +375,14 @@
         boolean slow = chunk.startsWith("1");
         CountDownLatch never = new CountDownLatch(1);
         byte[] piece = bytes(slow ? chunk : (chunk + "y".repeat(1024) + "\r\n").repeat(64));
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             s.getOutputStream().write(bytes(OK + "Transfer-Encoding: chunked\r\n\r\n"));
             while (!slow || !never.await(20, TimeUnit.MILLISECONDS)) {
                 s.getOutputStream().write(piece);
             }
         });
-        Client c = client(nodeBefore(host)).send(view("v", slow ? 2500 : Sockets.PATIENCE_MS));
-        assertTrue(!end(c.socket.getInputStream()).endsWith("0\r\n\r\n"), "it looks whole");
-        assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        TestClient c = client(gatewayFor(host)).send(view("v", slow ? 2500 : GatewaySocketTest.TIMEOUT_MS));
+        assertTrue(!end(c.socket().getInputStream()).endsWith("0\r\n\r\n"), "it looks whole");
+        assertNotNull(host.ended().poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 }
--- a/src/test/java/caperrudder/server/admin/AdminServerTest.java
+++ b/src/test/java/caperrudder/server/admin/AdminServerTest.java
@@ -1,18 +1,20 @@
 package caperrudder.server.admin;
 
-import static caperrudder.server.Sockets.order;
-import static caperrudder.server.Sockets.view;
+import static caperrudder.server.TestRequests.order;
+import static caperrudder.server.TestRequests.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.policy.TrafficPolicy;
+import caperrudder.server.DiscoveryAgent;
 import caperrudder.server.GatewayServer;
-import caperrudder.server.SocketTest;
-import caperrudder.server.Sockets;
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Message;
-import caperrudder.server.Sockets.Server;
+import caperrudder.server.GatewaySocketTest;
+import caperrudder.server.HttpMessage;
+import caperrudder.server.ScriptedServer;
+import caperrudder.server.TestClient;
+import caperrudder.server.TestGateways;
+import caperrudder.server.TestRequests;
 import caperrudder.server.runtime.DescriptorBudget;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -25,32 +27,32 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The second address: who asks it, and what it says of the node. */
-class AdminServerTest extends SocketTest {
+class AdminServerTest extends GatewaySocketTest {
     private static final int FEW_SOCKETS = 100; // room for the fewest callers
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private AdminServer admin(GatewayServer node) throws IOException {
-        return kept(
+        return closeAtEnd(
                 new AdminServer(ANY, DescriptorBudget.exclusive(FEW_SOCKETS).admin(), node::isReady, node::metrics));
     }
 
     private static Socket open(AdminServer admin) throws IOException {
         Socket s = new Socket(ANY.getAddress(), admin.port());
-        s.setSoTimeout(Sockets.PATIENCE_MS);
+        s.setSoTimeout(GatewaySocketTest.TIMEOUT_MS);
         return s;
     }
 
-    private static Message call(AdminServer admin, String line) throws IOException {
+    private static HttpMessage call(AdminServer admin, String line) throws IOException {
         try (Socket s = open(admin)) {
-            s.getOutputStream().write(Sockets.bytes(line + " HTTP/1.1\r\nHost: h\r\n\r\n"));
-            Message answer = Sockets.read(s.getInputStream());
+            s.getOutputStream().write(TestRequests.bytes(line + " HTTP/1.1\r\nHost: h\r\n\r\n"));
+            HttpMessage answer = HttpMessage.read(s.getInputStream());
             assertEquals(-1, s.getInputStream().read(), "one call to a connection");
             return answer;
         }
     }
 
     private static void awaitMetric(AdminServer admin, String line) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GatewaySocketTest.TIMEOUT_MS);
         while (!call(admin, "GET /api/telemetry").text().lines().toList().contains(line)) {
             assertTrue(System.nanoTime() < end, "never told: " + line);
         }
@@ -69,15 +71,15 @@
         "GET  x  y z,400"
     })
     void eachRequestLineGetsItsStatus(String line, int status) throws Exception {
-        assertEquals(status, call(admin(nodeBefore()), line).status());
+        assertEquals(status, call(admin(gatewayFor()), line).status());
     }
 
     @Test
     void readyOnlyWhileTheListenerIsOpen() throws Exception {
-        registry = kept(new Sockets.Registry(Sockets.list(1, true)));
-        GatewayServer node =
-                Sockets.unstarted(Sockets.config(registry.server.address(), "127.0.0.1:0"), TrafficPolicy::new);
-        ends.push(node::stop);
+        discovery = closeAtEnd(new DiscoveryAgent(DiscoveryAgent.list(1, true)));
+        GatewayServer node = TestGateways.unstarted(
+                TestGateways.config(discovery.server().address(), "127.0.0.1:0"), TrafficPolicy::new);
+        closeAtEnd(node::stop);
         AdminServer admin = admin(node);
         assertEquals(503, call(admin, "GET /api/ready").status());
         node.start();
@@ -89,9 +91,9 @@
     @Test
     void eachRequestIsCountedOnceByItsResult() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        ScriptedServer host = host((m, s) -> {
             if (m.start().contains("/view/held")) {
-                told.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                told.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             if (m.start().startsWith("POST")) {
                 s.close();
@@ -99,16 +101,16 @@
             }
             echo(m, s);
         });
-        GatewayServer node = nodeBefore(host);
+        GatewayServer node = gatewayFor(host);
         AdminServer admin = admin(node);
-        Client c = client(node);
-        String tiny = view("t", Sockets.PATIENCE_MS)
+        TestClient c = client(node);
+        String tiny = view("t", GatewaySocketTest.TIMEOUT_MS)
                 .replace("X-Plan: free", "X-Plan: tiny")
                 .replace("b4d65521", "b4d65522");
         assertEquals(200, c.send(tiny).receive().status());
         assertEquals(429, c.send(tiny).receive().status());
         assertEquals(502, c.send(order("o", "b")).receive().status()); // three attempts
-        Client held = client(node).send(view("held", Sockets.PATIENCE_MS));
+        TestClient held = client(node).send(view("held", GatewaySocketTest.TIMEOUT_MS));
         awaitMetric(admin, "app_current 1");
         awaitMetric(admin, "app_sends_total 5");
         awaitMetric(admin, "app_transactions_total{group=\"view\",state=\"answered\"} 1");
@@ -123,11 +125,11 @@
 
     @Test
     void silentConnectionsAreClosedForNewOnes() throws Exception {
-        AdminServer admin = admin(nodeBefore());
+        AdminServer admin = admin(gatewayFor());
         Socket[] silent = new Socket[20];
         for (int i = 0; i < silent.length; i++) {
-            silent[i] = kept(open(admin));
-            silent[i].getOutputStream().write(Sockets.bytes("GET /api/re"));
+            silent[i] = closeAtEnd(open(admin));
+            silent[i].getOutputStream().write(TestRequests.bytes("GET /api/re"));
         }
         assertEquals(200, call(admin, "GET /api/ready").status());
         for (Socket s : silent) {
@@ -135,9 +137,9 @@
         }
     }
 
-    private static Message ended(Socket s) {
+    private static HttpMessage ended(Socket s) {
         try {
-            return Sockets.read(s.getInputStream());
+            return HttpMessage.read(s.getInputStream());
         } catch (IOException reset) {
             return null;
         }
@@ -146,12 +148,12 @@
     /** What its thread answers from was made before, so a loop that stands still delays no call. */
     @Test
     void answersWhileTheClientsEventLoopIsBlocked() throws Exception {
-        GatewayServer node = nodeBefore();
+        GatewayServer node = gatewayFor();
         AdminServer admin = admin(node);
         CountDownLatch released = new CountDownLatch(1);
         node.loop().execute(() -> {
             try {
-                released.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                released.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
+++ b/src/test/java/caperrudder/server/discovery/DiscoveryClientTest.java
@@ -1,10 +1,10 @@
 package caperrudder.server.discovery;
 
-import static caperrudder.server.Sockets.bytes;
-import static caperrudder.server.Sockets.entry;
-import static caperrudder.server.Sockets.list;
-import static caperrudder.server.Sockets.ok;
-import static caperrudder.server.Sockets.view;
+import static caperrudder.server.DiscoveryAgent.entry;
+import static caperrudder.server.DiscoveryAgent.list;
+import static caperrudder.server.TestRequests.bytes;
+import static caperrudder.server.TestRequests.ok;
+import static caperrudder.server.TestRequests.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -13,10 +13,11 @@
 
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.GatewayServer;
-import caperrudder.server.SocketTest;
-import caperrudder.server.Sockets;
-import caperrudder.server.Sockets.Client;
-import caperrudder.server.Sockets.Server;
+import caperrudder.server.GatewaySocketTest;
+import caperrudder.server.HttpMessage;
+import caperrudder.server.ScriptedServer;
+import caperrudder.server.TestClient;
+import caperrudder.server.TestGateways;
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.runtime.Transport;
 import io.netty.channel.DefaultSelectStrategyFactory;
@@ -37,27 +38,27 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Calls to discovery that fall silent, come late or are answered with what can't be a list. */
-class DiscoveryClientTest extends SocketTest {
+class DiscoveryClientTest extends GatewaySocketTest {
     private static final String NONE_KNOWN = "{\"version\": 0, \"full\": true, \"servers\": []}";
 
-    private GatewayServer node(Server agent, String known, String mode) throws IOException {
-        GatewayServer node = Sockets.node(Sockets.config(agent.address(), "127.0.0.1:0")
+    private GatewayServer node(ScriptedServer agent, String known, String mode) throws IOException {
+        GatewayServer node = TestGateways.start(TestGateways.config(agent.address(), "127.0.0.1:0")
                 .replace(NONE_KNOWN, known)
                 .replace("\"az\": \"a\"", "\"az\": \"a\", \"discovery\": \"" + mode + "\"")
                 .replace("\"rules\": {", "\"rules\": {\"drain_grace_ms\": 500, "));
-        ends.push(node::stop);
+        closeAtEnd(node::stop);
         return node;
     }
 
     /** An agent whose calls a test answers by hand. */
     private static final class ByHand {
         private final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
-        final Server server = new Server((m, s) -> calls.add(s));
+        final ScriptedServer server = new ScriptedServer((m, s) -> calls.add(s));
 
         ByHand() throws IOException {}
 
         Socket next() throws InterruptedException {
-            Socket s = calls.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            Socket s = calls.poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertNotNull(s, "no call came");
             return s;
         }
@@ -71,10 +72,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
     void silentWatchIsHedgedBeforeAnUpdateIsOverdue(String mode) throws Exception {
-        Server old = host(SocketTest::echo);
-        Server fresh = host(SocketTest::echo);
+        ScriptedServer old = host(GatewaySocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
         ByHand agent = new ByHand();
-        kept(agent.server);
+        closeAtEnd(agent.server);
         Thread answering = new Thread(() -> {
             try {
                 agent.answer(agent.next(), list(1, true, entry("h0", old.address(), "ready")));
@@ -92,18 +93,20 @@
         agent.answer(
                 beside, list(2, false, entry("h0", old.address(), "draining"), entry("h1", fresh.address(), "ready")));
         assertNotNull(agent.next()); // once it has been heard
-        assertNull(Sockets.read(silent.getInputStream())); // and the silent one is left
-        Client c = client(node);
-        assertEquals("for v ", c.send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        assertEquals(0, old.asked.size());
+        assertNull(HttpMessage.read(silent.getInputStream())); // and the silent one is left
+        TestClient c = client(node);
+        assertEquals(
+                "for v ",
+                c.send(view("v", GatewaySocketTest.TIMEOUT_MS)).receive().text());
+        assertEquals(0, old.requests().size());
     }
 
     /** An agent that was cut off answers at its return what it was asked before: that call must still be open. */
     @Test
     void silentPollIsHedgedWithinADrainsGraceAndStillFollowed() throws Exception {
-        Server fresh = host(SocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
         ByHand agent = new ByHand();
-        kept(agent.server);
+        closeAtEnd(agent.server);
         GatewayServer node = node(agent.server, NONE_KNOWN, "automatic");
         Socket silent = agent.next();
         long from = 0;
@@ -120,17 +123,20 @@
         }
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
     }
 
     /** Seen in the code: a new process took clients by the list that it was started with, however old. */
     @Test
     void noClientIsServedBeforeTheAgentsFirstAnswer() throws Exception {
-        Server drained = host(SocketTest::echo);
-        Server fresh = host(SocketTest::echo);
+        ScriptedServer drained = host(GatewaySocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
         CountDownLatch started = new CountDownLatch(1);
         AtomicBoolean early = new AtomicBoolean();
-        Server agent = kept(new Server((m, s) -> {
+        ScriptedServer agent = closeAtEnd(new ScriptedServer((m, s) -> {
             if (m.start().contains("from=41&")) {
                 early.set(started.await(200, TimeUnit.MILLISECONDS));
                 s.getOutputStream()
@@ -145,9 +151,12 @@
         started.countDown();
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
         assertFalse(early.get());
-        assertEquals(0, drained.asked.size());
+        assertEquals(0, drained.requests().size());
     }
 
     /** Each of these once emptied the list, or was asked for again thousands of times a second. */
@@ -165,8 +174,9 @@
                 "not JSON"
             })
     void malformedListIsRetriedWithBackoffAndTheLastGoodOneServes(String bad) throws Exception {
-        Server host = host(SocketTest::echo);
-        Server agent = kept(new Server((m, s) -> s.getOutputStream().write(ok(bad))));
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        ScriptedServer agent =
+                closeAtEnd(new ScriptedServer((m, s) -> s.getOutputStream().write(ok(bad))));
         GatewayServer node = node(agent, list(41, true, entry("h0", host.address(), "ready")), "subscribe");
         for (int i = 0; i < 5; i++) {
             assertNotNull(agent.next());
@@ -176,25 +186,31 @@
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from) >= 300, "after 0.5 to 1.5 times 0.8 s");
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
     }
 
     /** Refused by its length as told, before anything of it has come. */
     @Test
     void listAnnouncedBeyondMemoryIsRejectedAndTheLastGoodOneServes() throws Exception {
-        Server host = host(SocketTest::echo);
-        Server agent = kept(new Server((m, s) -> s.getOutputStream()
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        ScriptedServer agent = closeAtEnd(new ScriptedServer((m, s) -> s.getOutputStream()
                 .write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + Long.MAX_VALUE + "\r\n\r\n{"))));
         GatewayServer node = node(agent, list(41, true, entry("h0", host.address(), "ready")), "automatic");
         assertNotNull(agent.next());
-        assertNotNull(agent.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        assertEquals(1, agent.asked.size()); // the call was ended, not taken for one that is silent
+        assertNotNull(agent.ended().poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(1, agent.requests().size()); // the call was ended, not taken for one that is silent
         long from = System.nanoTime();
         assertTrue(agent.next().start().contains("from=41&"));
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from) >= 500, "after 0.5 to 1.5 times 2 s");
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
     }
 
     /** A list of the whole fleet once kept the event loop for half a second. */
@@ -207,7 +223,7 @@
         byte[] list = ok(list(1, true, entries));
         AtomicInteger turns = new AtomicInteger();
         AtomicInteger before = new AtomicInteger();
-        Server agent = kept(new Server((m, s) -> {
+        ScriptedServer agent = closeAtEnd(new ScriptedServer((m, s) -> {
             if (!m.start().contains("from=")) {
                 before.set(turns.get());
                 s.getOutputStream().write(list);
@@ -222,7 +238,7 @@
                 });
         GatewayServer node =
                 new GatewayServer(configured(agent), Optional.empty(), TrafficPolicy::new, Transport.TCP, group);
-        ends.push(node::stop);
+        closeAtEnd(node::stop);
         node.start();
         assertNotNull(agent.next());
         assertNotNull(agent.next()); // once the list has been read
@@ -234,9 +250,9 @@
     /** A version that runs backwards, a double id and a host that changes its zone. */
     @Test
     void latestUpdateReplacesEarlierOnesWhateverItsVersion() throws Exception {
-        Server old = host(SocketTest::echo);
-        Server fresh = host(SocketTest::echo);
-        Server agent = kept(new Server((m, s) -> {
+        ScriptedServer old = host(GatewaySocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
+        ScriptedServer agent = closeAtEnd(new ScriptedServer((m, s) -> {
             if (m.start().contains("from=41&")) {
                 s.getOutputStream()
                         .write(ok(list(
@@ -251,18 +267,21 @@
         assertTrue(agent.next().start().contains("from=7&"));
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        assertEquals(0, old.asked.size());
-        assertEquals(1, fresh.asked.size());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
+        assertEquals(0, old.requests().size());
+        assertEquals(1, fresh.requests().size());
     }
 
     /** A list that never ends is one that is silent. */
     @Test
     void endlessListIsHedged() throws Exception {
-        Server host = host(SocketTest::echo);
+        ScriptedServer host = host(GatewaySocketTest::echo);
         AtomicBoolean first = new AtomicBoolean(true);
         CountDownLatch heard = new CountDownLatch(1);
-        Server agent = kept(new Server((m, s) -> {
+        ScriptedServer agent = closeAtEnd(new ScriptedServer((m, s) -> {
             if (first.getAndSet(false)) {
                 s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
                 while (!heard.await(20, TimeUnit.MILLISECONDS)) {
@@ -275,17 +294,20 @@
             }
         }));
         GatewayServer node = node(agent, NONE_KNOWN, "automatic");
-        assertTrue(heard.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(heard.await(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
     }
 
     /** Lists come with blanks and line ends, too. */
     @Test
     void indentedListIsRead() throws Exception {
-        Server host = host(SocketTest::echo);
-        Server agent = kept(new Server((m, s) -> {
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        ScriptedServer agent = closeAtEnd(new ScriptedServer((m, s) -> {
             if (!m.start().contains("from=1&")) {
                 s.getOutputStream()
                         .write(ok(list(1, true, entry("h0", host.address(), "ready"))
@@ -300,7 +322,10 @@
         }
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
     }
 
     private static final byte[] REFUSAL =
@@ -313,7 +338,7 @@
     /** The agent of a node that was started with a list. */
     private ByHand beforeOneThatKnows(String mode) throws IOException {
         ByHand agent = new ByHand();
-        kept(agent.server);
+        closeAtEnd(agent.server);
         node(agent.server, list(41, true, entry("h0", "127.0.0.1:1", "ready")), mode);
         return agent;
     }
@@ -348,11 +373,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"automatic refused", "automatic silent", "subscribe refused", "subscribe silent"})
     void moveToAnotherAgentSucceedsInTimeAfterTwoFailedPolls(String way) throws Exception {
-        Server fresh = host(SocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
         ByHand old = new ByHand();
         ByHand agent = new ByHand();
-        kept(old.server);
-        kept(agent.server);
+        closeAtEnd(old.server);
+        closeAtEnd(agent.server);
         String mode = way.split(" ", -1)[0];
         GatewayServer node = node(old.server, list(41, true, entry("h0", "127.0.0.1:1", "ready")), mode);
         old.answer(old.next(), list(42, false));
@@ -370,25 +395,31 @@
         agent.answer(third, list(1, true, entry("h1", fresh.address(), "ready")));
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
     }
 
     /** A new configuration that names the same agent leaves the watch as it is, and what that tells is heard. */
     @Test
     void reloadWithTheSameAgentKeepsTheWatch() throws Exception {
-        Server host = host(SocketTest::echo);
-        GatewayServer node = nodeWith();
+        ScriptedServer host = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayListing();
         awaitWatches(1);
-        node.reload(configured(registry.server));
+        node.reload(configured(discovery.server()));
         node.loop().submit(() -> {}).sync(); // it has been taken in
-        registry.news.add(list(2, false, entry("h0", host.address(), "ready")));
+        discovery.updates().add(list(2, false, entry("h0", host.address(), "ready")));
         awaitWatches(2);
         assertEquals(
                 "for v ",
-                client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+                client(node)
+                        .send(view("v", GatewaySocketTest.TIMEOUT_MS))
+                        .receive()
+                        .text());
         assertEquals(
                 1,
-                registry.server.asked.stream()
+                discovery.server().requests().stream()
                         .filter(m -> !m.start().contains("from="))
                         .count());
     }
@@ -396,12 +427,12 @@
     /** Twice told to move before the first new agent has answered: only the last one is heard. */
     @Test
     void secondMoveBeforeAnAnswerFollowsTheLastAgent() throws Exception {
-        Server gone = host(SocketTest::echo);
-        Server fresh = host(SocketTest::echo);
-        GatewayServer node = nodeWith();
+        ScriptedServer gone = host(GatewaySocketTest::echo);
+        ScriptedServer fresh = host(GatewaySocketTest::echo);
+        GatewayServer node = gatewayListing();
         ByHand between = new ByHand();
-        kept(between.server);
-        Server last = kept(new Server((m, s) -> {
+        closeAtEnd(between.server);
+        ScriptedServer last = closeAtEnd(new ScriptedServer((m, s) -> {
             if (!m.start().contains("from=")) {
                 s.getOutputStream().write(ok(list(1, true, entry("h1", fresh.address(), "ready"))));
             }
@@ -421,14 +452,14 @@
             assertEquals(
                     "for v" + i + " ",
                     client(node)
-                            .send(view("v" + i, Sockets.PATIENCE_MS))
+                            .send(view("v" + i, GatewaySocketTest.TIMEOUT_MS))
                             .receive()
                             .text());
         }
-        assertEquals(0, gone.asked.size());
+        assertEquals(0, gone.requests().size());
     }
 
-    private static GatewayConfig configured(Server agent) throws IOException {
-        return Sockets.configured(Sockets.config(agent.address(), "127.0.0.1:0"));
+    private static GatewayConfig configured(ScriptedServer agent) throws IOException {
+        return TestGateways.configured(TestGateways.config(agent.address(), "127.0.0.1:0"));
     }
 }
--- a/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
+++ b/src/test/java/caperrudder/server/discovery/EndpointListReaderTest.java
@@ -7,7 +7,7 @@
 
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
-import caperrudder.server.Sockets;
+import caperrudder.server.TestGateways;
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.config.JsonTreeReader;
 import caperrudder.server.runtime.SocketAddresses;
@@ -315,7 +315,7 @@
     // ---- in a configuration
 
     private static Optional<EndpointList> configured(String known) throws IOException {
-        String config = Sockets.config("127.0.0.1:1", "127.0.0.1:0")
+        String config = TestGateways.config("127.0.0.1:1", "127.0.0.1:0")
                 .replace("{\"version\": 0, \"full\": true, \"servers\": []}", known);
         KnownEndpoints streamed = new KnownEndpoints();
         GatewayConfig whole = GatewayConfig.read(new ByteArrayInputStream(utf8(config)), streamed);
--- a/src/test/java/caperrudder/server/handover/ProcessHandoverTest.java
+++ b/src/test/java/caperrudder/server/handover/ProcessHandoverTest.java
@@ -9,7 +9,7 @@
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Snapshot;
-import caperrudder.server.Sockets;
+import caperrudder.server.GatewaySocketTest;
 import caperrudder.server.handover.HandoverFiles.Claim;
 import caperrudder.server.runtime.Clock;
 import java.nio.file.Files;
@@ -141,9 +141,9 @@
         assertEquals(Optional.of(new Claim(ProcessHandle.current().pid(), true)), files.readClaim());
         Snapshot later = snapshotOf(clock.now());
         files.writeSnapshot(later);
-        assertEquals(later, restored.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals(later, restored.poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         other.destroyForcibly().waitFor();
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GatewaySocketTest.TIMEOUT_MS);
         while (beside) {
             assertTrue(System.nanoTime() < end, "still beside the one that ended");
             Thread.sleep(5);
@@ -156,7 +156,7 @@
         s.begin();
         s.startServing();
         files.writeClaim(new Claim(other.pid(), false));
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GatewaySocketTest.TIMEOUT_MS);
         while (files.readSnapshot().isEmpty() || !beside) {
             assertTrue(System.nanoTime() < end, "left no snapshot");
             Thread.sleep(5);
--- a/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
+++ b/src/test/java/caperrudder/server/runtime/FatalErrorHandlerTest.java
@@ -6,7 +6,9 @@
 import caperrudder.api.PolicyEvents;
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.GatewayServer;
-import caperrudder.server.Sockets;
+import caperrudder.server.GatewaySocketTest;
+import caperrudder.server.TestGateways;
+import caperrudder.server.TestRequests;
 import caperrudder.server.config.GatewayConfig;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
@@ -53,7 +55,7 @@
     }
 
     private void assertEnded(String line) throws Exception {
-        assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS), "runs on");
+        assertTrue(process.waitFor(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS), "runs on");
         assertEquals(HALTED, process.exitValue());
         assertEquals(List.of(line), Files.readAllLines(dir.resolve("log")));
     }
@@ -63,7 +65,7 @@
         start(
                 "caperrudder.Main",
                 "serve",
-                Sockets.config(
+                TestGateways.config(
                         "127.0.0.1:1",
                         "127.0.0.1:0",
                         java.util.Collections.nCopies(800_000, "127.0.0.1:1").toArray(String[]::new)));
@@ -73,18 +75,18 @@
     /** The loop's library drops an error with the task that threw it. */
     @Test
     void errorInATaskOfTheEventLoopEndsTheProcess() throws Exception {
-        start(Failing.class.getName(), "timerFired", Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
+        start(Failing.class.getName(), "timerFired", TestGateways.config("127.0.0.1:1", "127.0.0.1:0"));
         assertEnded("FATAL process: can't continue cause=\"java.lang.StackOverflowError: timerFired\"");
     }
 
     /** The loop's library turns an error into one closed connection. */
     @Test
     void errorWhileARequestIsReadEndsTheProcess() throws Exception {
-        start(Failing.class.getName(), "requestReceived", Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
+        start(Failing.class.getName(), "requestReceived", TestGateways.config("127.0.0.1:1", "127.0.0.1:0"));
         int port =
                 process.getInputStream().read() << 8 | process.getInputStream().read();
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.getOutputStream().write(Sockets.bytes(Sockets.view("v", Sockets.PATIENCE_MS)));
+            s.getOutputStream().write(TestRequests.bytes(TestRequests.view("v", GatewaySocketTest.TIMEOUT_MS)));
             assertEnded("FATAL process: can't continue cause=\"java.lang.StackOverflowError: requestReceived\"");
         }
     }
