--- a/src/main/java/caperrudder/api/Limits.java
+++ b/src/main/java/caperrudder/api/Limits.java
@@ -8,7 +8,7 @@
  * @param cancellation whether attempts may be cancelled
  * @param healthChecks whether hosts may be asked for their health
  * @param peerMessages whether gateways may send each other messages
- * @param retryAfter whether a rejected client is told when to come again
+ * @param retryAfter whether a rejected client may get a Retry-After
  * @param maxRetryAfterMs the longest such wait that clients follow
  * @param connectTimeoutMs how long a connection may take
  */
--- a/src/main/java/caperrudder/api/PolicyActions.java
+++ b/src/main/java/caperrudder/api/PolicyActions.java
@@ -11,7 +11,7 @@
     /** Cancels an attempt, which ends with {@link Outcome#CANCELLED}. */
     void cancelAttempt(String id, int attempt);
 
-    /** Answers that there is no capacity or quota; 0 where the client is not told when to come again. */
+    /** Answers that there is no capacity or quota; 0 where the client gets no Retry-After. */
     void reject(String id, double retryAfterMs);
 
     /** Answers that the request failed. */
--- a/src/main/java/caperrudder/policy/OutstandingAttempts.java
+++ b/src/main/java/caperrudder/policy/OutstandingAttempts.java
@@ -21,7 +21,7 @@
     private final LoadBalancer loadBalancer;
     private final EventLoopStalls stalls;
 
-    /** Is told of each attempt that becomes overdue; it may begin and end attempts. */
+    /** Is notified of each attempt that becomes overdue; it may begin and end attempts. */
     interface OverdueListener {
         void overdue(double now, Attempt attempt);
     }
--- a/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
@@ -22,7 +22,7 @@
     private double slowStartCredit; // saved up while it warms up; 1 is worth a request
     private boolean reportsLoad;
     private double reportedLoad; // requests held for all gateways, by its last report
-    private EndpointScores scores; // null until an attempt has told of it
+    private EndpointScores scores; // null until an attempt has scored it
 
     Endpoint(Host host) {
         this.host = host;
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
@@ -31,7 +31,7 @@
         this.order = order;
     }
 
-    /** To be told of each host that becomes usable or ceases to be. */
+    /** To be notified of each host that becomes usable or ceases to be. */
     void noteChange(int key, String id) {
         changed |= contains(key, id);
     }
--- a/src/main/java/caperrudder/server/RequestDispatcher.java
+++ b/src/main/java/caperrudder/server/RequestDispatcher.java
@@ -200,7 +200,7 @@
         }
     }
 
-    /** The end of an attempt, told once; the first whole 200 goes to the client unchanged. */
+    /** The end of an attempt, reported once; the first whole 200 goes to the client unchanged. */
     void attemptEnded(UpstreamAttempt attempt, Outcome outcome, FullHttpResponse response) {
         if (attempt.hasEnded()) {
             return;
@@ -268,7 +268,7 @@
         double now = now();
         UpstreamAttempt attempt = request.addAttempt(host, now);
         if (!isAwaited(request)) {
-            clientDisconnected(request); // no news yet where it is told only by what stands in the socket
+            clientDisconnected(request); // not notified yet where only unread bytes in the socket show it
         }
         if (!maySend(attempt, now)) {
             attemptEnded(attempt, Outcome.NOT_SENT, null);
--- a/src/main/java/caperrudder/server/discovery/DiscoveryClient.java
+++ b/src/main/java/caperrudder/server/discovery/DiscoveryClient.java
@@ -54,7 +54,7 @@
 
     /**
      * Of a list that holds something: where a fleet starts, all poll, and what has changed since is a fraction of the
-     * whole list. It would be wrong only where an agent numbers anew, which is told by a full list or an error.
+     * whole list. It would be wrong only where an agent numbers anew, which is shown by a full list or an error.
      */
     private static long versionOf(EndpointList known) {
         return known.entries().isEmpty() ? NO_VERSION : known.version();
--- a/src/main/java/caperrudder/server/discovery/DiscoveryConnection.java
+++ b/src/main/java/caperrudder/server/discovery/DiscoveryConnection.java
@@ -87,7 +87,7 @@
                 .connect(agent);
         channel = connecting.channel();
         connecting.addListener(f -> {
-            if (!f.isSuccess()) { // where no descriptor was left this is told on another thread
+            if (!f.isSuccess()) { // where no descriptor was left this is reported on another thread
                 loop.execute(this::closed);
             }
         });
@@ -113,7 +113,7 @@
         return listTooLong;
     }
 
-    /** Reports this connection as silent after {@code ms}, unless it is told anew or ends before. */
+    /** Reports this connection as silent after {@code ms}, unless it is called again or ends before. */
     void expectAnswerWithin(double ms) {
         stopTimeout();
         timeout = loop.schedule(() -> client.onSilence(this), (long) ms, TimeUnit.MILLISECONDS);
--- a/src/main/java/caperrudder/server/downstream/RequestReader.java
+++ b/src/main/java/caperrudder/server/downstream/RequestReader.java
@@ -35,7 +35,7 @@
 final class RequestReader extends ChannelInboundHandlerAdapter {
     /** Events for the handlers behind this one. */
     enum Event {
-        /** The client sends the body only once it is told that its head was read. */
+        /** The client sends the body only once it is notified that its head was read. */
         CONTINUE_EXPECTED,
         /** The last byte of a streamed body has come. */
         BODY_COMPLETED
--- a/src/main/java/caperrudder/server/downstream/RequestRouter.java
+++ b/src/main/java/caperrudder/server/downstream/RequestRouter.java
@@ -21,7 +21,7 @@
     private final DrainStatus drain;
     private final double retryAfterMs;
 
-    /** {@code retryAfterMs}: for how long a client is told to stay away where the handler is full. */
+    /** {@code retryAfterMs}: for how long a client is asked to stay away where the handler is full. */
     RequestRouter(
             EventLoopContext eventLoop,
             RequestParser parser,
--- a/src/main/java/caperrudder/server/upstream/HealthChecker.java
+++ b/src/main/java/caperrudder/server/upstream/HealthChecker.java
@@ -34,7 +34,7 @@
         this.path = reports.isEmpty() ? HEALTH_PATH : LOAD_PATH;
     }
 
-    /** Asks the host; the listener is told once, perhaps before this returns. */
+    /** Asks the host; the listener is notified once, perhaps before this returns. */
     public void check(String host) {
         HealthCheck check = new HealthCheck(host, eventLoop.clock().now());
         client.start(host, check, connection -> connection.write(check, request()));
--- a/src/main/java/caperrudder/server/upstream/LoadReportParser.java
+++ b/src/main/java/caperrudder/server/upstream/LoadReportParser.java
@@ -25,7 +25,7 @@
         return fields.isEmpty();
     }
 
-    /** The customer's metered use as the policy is told it, 1 + percent; 0 where the response tells none. */
+    /** The customer's metered use as the policy takes it, 1 + percent; 0 where the response tells none. */
     public static int quotaUsedPercent(HttpResponse response) {
         double percent = HeaderValues.parseNumber(response.headers().get(QUOTA_USED_HEADER), false);
         return percent < 0 ? NOT_TOLD : 1 + (int) percent;
--- a/src/main/java/caperrudder/server/upstream/ResponseAssembler.java
+++ b/src/main/java/caperrudder/server/upstream/ResponseAssembler.java
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Goes on with the response as it comes; one that is not served has told all with its head. */
+    /** Goes on with the response as it comes; one that is not served has said all with its head. */
     private void startStreaming() {
         if (!head.status().equals(HttpResponseStatus.OK)) {
             FullHttpResponse headAlone = whole(Unpooled.EMPTY_BUFFER);
--- a/src/main/java/caperrudder/server/upstream/UpstreamClient.java
+++ b/src/main/java/caperrudder/server/upstream/UpstreamClient.java
@@ -26,7 +26,7 @@
     private int connections;
 
     /**
-     * Sends nothing before it is told of hosts.
+     * Sends nothing before it has been given hosts.
      *
      * @param connectTimeoutMs after which a connection that has not come up is given up
      * @param idleMs after which a host may close an idle connection
@@ -121,7 +121,7 @@
                 })
                 .connect(eventLoop.transport().at(pool.address()));
         connecting.addListener(f -> {
-            if (!f.isSuccess()) { // also where no descriptor was left: that is told at once and on another thread
+            if (!f.isSuccess()) { // also where no descriptor was left: that is reported at once and on another thread
                 eventLoop.loop().execute(() -> {
                     connections--;
                     connection.lost();
@@ -136,7 +136,7 @@
     }
 
     /**
-     * While the connection came up the list may have told that the host drains, is gone or has started anew, and the
+     * While the connection came up the list may have said that the host drains, is gone or has started anew, and the
      * client may have left: what reached no host yet is then not sent.
      */
     private static void connected(
