--- a/src/main/java/caperrudder/server/http/RequestHeaders.java
+++ b/src/main/java/caperrudder/server/http/RequestHeaders.java
@@ -4,7 +4,7 @@
 import io.netty.util.AsciiString;
 import java.util.List;
 
-/** The names of the request headers of ../given/docs/PROTOCOL-caperrudder.md. */
+/** The names of the request headers (page PROTOCOL). */
 public final class RequestHeaders {
     /** The request's id, fresh on every request. */
     public static final AsciiString TRACE_ID = AsciiString.cached("X-Trace-Id");
