--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -7,31 +7,35 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Decides whether a request fits the quota of its customer, by what this gateway knows of it.
+ * Decides whether to admit a request, by its customer's quota and the use of it that this gateway knows of.
  *
  * <p>Not thread-safe.
  */
 public final class AdmissionControl {
-    /** An owner's reply this old no longer admits without asking. */
+    /** An owner's reply of this age or older no longer allows admission without asking the owner. */
     public static final double REPLY_FRESH_MS = 1000;
 
-    private static final double REPLY_LAG_MS = 60; // a reported figure's age on arrival: half a gap and the way
-    private static final double UNSEEN_USE = 0.6; // of the rate: what others may use unseen beside their demand
-    private static final double DELAYED_REQUESTS = 2; // requests that one more delays, where all hosts queue
+    /** Age of the figures in an owner's reply on arrival: half the interval between replies and the transit time. */
+    private static final double OWNER_REPLY_DELAY_MS = 60;
+    /** Use that the reported demand of the other gateways may not show yet, relative to the plan's rate. */
+    private static final double UNREPORTED_USE_RATIO = 0.6;
+    /** Requests that one more admitted request delays while all hosts have a queue. */
+    private static final double DELAYED_REQUESTS_PER_ADMISSION = 2;
+
     private static final double MS_PER_SECOND = 1000;
 
-    private final boolean peers;
-    private final boolean metered;
+    private final boolean usesPeerMessages;
+    private final boolean usesMeter;
     private final double meterPeriodMs;
     private final QuotaTable table;
     private final DemandShares shares;
     private final OwnerLocator owners;
     private final RejectionListener rejections;
     private final DoubleSupplier overdueShare;
-    private final Map<Integer, AdmissionOdds> firstOdds = new HashMap<>();
-    private final Map<Integer, AdmissionOdds> retryOdds = new HashMap<>();
+    private final Map<Integer, AdmissionOdds> firstRequestOddsByPlan = new HashMap<>();
+    private final Map<Integer, AdmissionOdds> clientRetryOddsByPlan = new HashMap<>();
 
-    /** @param overdueShare share, 0 to 1, of the requests admitted lately that were served late */
+    /** @param overdueShare supplies the share, 0 to 1, of recently admitted requests that were served late */
     public AdmissionControl(
             Settings settings,
             QuotaTable table,
@@ -39,8 +43,8 @@
             RejectionListener rejections,
             DoubleSupplier overdueShare) {
         UsageSource source = UsageSource.of(settings);
-        this.peers = source == UsageSource.PEERS;
-        this.metered = source == UsageSource.METER;
+        this.usesPeerMessages = source == UsageSource.PEERS;
+        this.usesMeter = source == UsageSource.METER;
         this.meterPeriodMs = settings.sharing().meterPeriodMs();
         this.table = table;
         this.shares = new DemandShares(source, owners);
@@ -49,26 +53,33 @@
         this.overdueShare = overdueShare;
     }
 
-    /** Counts the request into its customer's demand and decides; {@code quota} is refilled up to now. */
+    /**
+     * Decides on a request and adds it to its customer's demand.
+     *
+     * @param quota the customer's quota, refilled up to {@code now}
+     */
     public AdmissionVerdict evaluate(double now, CustomerQuota quota, QuotaRequest request) {
         double units = request.units();
         quota.demand().addOwn(DemandEstimate.perSecond(units));
-        boolean excessPays = excessPays(quota.plan());
-        boolean limited = quota.hasRate() && !excessPays;
-        if ((!excessPays && !concurrencyAdmits(now, quota)) || (limited && !quota.sharedHolds(units))) {
+        boolean excessProfitable = isExcessProfitable(quota.plan());
+        boolean rateLimited = quota.hasRate() && !excessProfitable;
+        if ((!excessProfitable && !concurrencyAdmits(now, quota)) || (rateLimited && !quota.sharedHolds(units))) {
             rejections.quotaExhausted(now, quota);
             return AdmissionVerdict.REJECT;
         }
-        boolean single = quota.replicaCount() == 1;
-        if (!excessPays && metered && !single && !oddsAdmit(now, quota, request)) return AdmissionVerdict.REJECT;
-        boolean mayAsk = peers && !single;
-        boolean fits = !limited || hasCapacity(now, quota, units, mayAsk);
-        if (fits && quota.ceilingAdmits(units)) return AdmissionVerdict.ADMIT; // rule 5: own units need no peer
-        return mayAsk ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REJECT;
+        boolean singleReplica = quota.replicaCount() == 1;
+        if (!excessProfitable && usesMeter && !singleReplica && !isWorthAdmitting(now, quota, request)) {
+            return AdmissionVerdict.REJECT;
+        }
+        boolean canAskOwner = usesPeerMessages && !singleReplica;
+        boolean withinRate = !rateLimited || hasCapacity(now, quota, units, canAskOwner);
+        // This gateway spends its own share of the ceiling without asking an owner (rule 5).
+        if (withinRate && quota.ceilingAdmits(units)) return AdmissionVerdict.ADMIT;
+        return canAskOwner ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REJECT;
     }
 
-    /** Whether requests beyond the quota earn at least what they cost. */
-    private static boolean excessPays(Plan plan) {
+    /** Returns whether a request over the quota earns at least what it costs. */
+    private static boolean isExcessProfitable(Plan plan) {
         return plan.overQuotaValue() > 0 && plan.overQuotaValue() >= plan.overQuotaCost();
     }
 
@@ -76,13 +87,15 @@
         ConcurrencyQuota concurrency = quota.concurrency();
         if (!concurrency.isLimited()) return true;
         if (!concurrency.isNextDue(now)) return false;
-        return knowsOthersOpen(now, quota) ? concurrency.fitsTotal() : concurrency.fitsShare(shares.of(now, quota));
+        return isPeerConcurrencyKnown(now, quota)
+                ? concurrency.fitsTotal()
+                : concurrency.fitsShare(shares.of(now, quota));
     }
 
-    /** Whether what others have open is known well enough to count it. */
-    private boolean knowsOthersOpen(double now, CustomerQuota quota) {
+    /** Returns whether the number of requests open at other gateways is recent enough to be counted. */
+    private boolean isPeerConcurrencyKnown(double now, CustomerQuota quota) {
         if (quota.replicaCount() == 1) return true;
-        if (!peers) return quota.concurrency().isPeakValid(now);
+        if (!usesPeerMessages) return quota.concurrency().isPeakValid(now);
         return owners.decidesLocally(now, quota) || isReplyFresh(now, quota);
     }
 
@@ -90,49 +103,61 @@
         return quota.ownerReplyAgeMs(now) < REPLY_FRESH_MS;
     }
 
-    private boolean hasCapacity(double now, CustomerQuota quota, double units, boolean mayAsk) {
-        if (!mayAsk) return quota.localHolds(units) || (metered && quota.meter().admits(now, units));
-        if (owners.decidesLocally(now, quota)) return true; // the shared bucket is its own, and holds the units
+    private boolean hasCapacity(double now, CustomerQuota quota, double units, boolean canAskOwner) {
+        if (!canAskOwner) return quota.localHolds(units) || (usesMeter && quota.meter().admits(now, units));
+        // The owner in charge keeps the shared bucket, which was found to hold the units.
+        if (owners.decidesLocally(now, quota)) return true;
         if (!isReplyFresh(now, quota)) return false;
-        return quota.localHolds(units) || quota.sharedHolds(units, reserve(now, quota));
+        return quota.localHolds(units) || quota.sharedHolds(units, reservedUnits(now, quota));
     }
 
-    /** What the others may have used since an owner replied, as far as it matters against the cost of excess. */
-    private static double reserve(double now, CustomerQuota quota) {
+    /**
+     * Returns the units of the shared bucket that other gateways may have used since the owner's figures were taken.
+     * They are weighted by the net cost of a request over the quota. The weight is 1 if that cost is the value of the
+     * request, and grows with the cost from 0 to at most 2.
+     */
+    private static double reservedUnits(double now, CustomerQuota quota) {
         Plan plan = quota.plan();
-        double cost = plan.overQuotaCost() - plan.overQuotaValue();
-        double perSecond = quota.demand().others() + UNSEEN_USE * plan.unitsPerSecond();
-        double age = quota.ownerReplyAgeMs(now) + REPLY_LAG_MS;
-        return perSecond * age / MS_PER_SECOND * 2 * cost / (1 + cost);
+        double netCost = plan.overQuotaCost() - plan.overQuotaValue();
+        double unitsPerSecond = quota.demand().others() + UNREPORTED_USE_RATIO * plan.unitsPerSecond();
+        double ageMs = quota.ownerReplyAgeMs(now) + OWNER_REPLY_DELAY_MS;
+        return unitsPerSecond * ageMs / MS_PER_SECOND * 2 * netCost / (1 + netCost);
     }
 
-    /** Whether a request is worth its odds of being beyond the quota, which the meter alone shows. */
-    private boolean oddsAdmit(double now, CustomerQuota quota, QuotaRequest request) {
-        double takenFromOthers = DELAYED_REQUESTS * overdueShare.getAsDouble();
+    /**
+     * Returns whether a request is worth admitting, given the probability that it is over the quota. Used if the meter
+     * alone reports what other gateways admit.
+     */
+    private boolean isWorthAdmitting(double now, CustomerQuota quota, QuotaRequest request) {
+        double delayCostShare = DELAYED_REQUESTS_PER_ADMISSION * overdueShare.getAsDouble();
         MeteredUse meter = quota.meter();
         return odds(quota, request)
                 .admits(
                         now,
                         request.units(),
                         request.expectedValueShare(),
-                        takenFromOthers,
+                        delayCostShare,
                         meter.ageMs(now),
                         meter.useMultiple());
     }
 
-    /** Where clients mark a retry, one has been rejected already: its odds are others. */
+    /**
+     * Returns the estimate for the request's plan. Requests that a client marked as a retry have an estimate of their
+     * own, because a customer whose request was rejected is more often over its quota.
+     */
     private AdmissionOdds odds(CustomerQuota quota, QuotaRequest request) {
-        Map<Integer, AdmissionOdds> ofPlans = request.isClientRetry() ? retryOdds : firstOdds;
-        return ofPlans.computeIfAbsent(quota.planNumber(), number -> new AdmissionOdds(quota.plan(), meterPeriodMs));
+        Map<Integer, AdmissionOdds> oddsByPlan =
+                request.isClientRetry() ? clientRetryOddsByPlan : firstRequestOddsByPlan;
+        return oddsByPlan.computeIfAbsent(quota.planNumber(), number -> new AdmissionOdds(quota.plan(), meterPeriodMs));
     }
 
     /**
-     * The response to a request carried the meter's figure.
+     * Records the meter's figure that arrived with the response to a request.
      *
-     * @param usedPercent of the customer's quota that all gateways use, plus one; 0 where nothing was reported
+     * @param usedPercent percentage of the customer's quota that all gateways use, plus 1; 0 if nothing was reported
      */
     public void meterReported(double now, CustomerQuota quota, QuotaRequest request, int usedPercent) {
-        if (usedPercent <= 0 || !metered) return;
+        if (usedPercent <= 0 || !usesMeter) return;
         double useMultiple = (usedPercent - 1) / 100.0;
         AdmissionOdds odds = odds(quota, request);
         if (odds.isUnknown(quota.meter().ageMs(now))) odds.learn(now, request.units(), useMultiple);
@@ -140,7 +165,7 @@
             quota.meter().reportedRate(now, useMultiple, quota.demand().own());
             return;
         }
-        table.refill(now, quota); // so that the peak has faded as it should
+        table.refill(now, quota); // decays this gateway's recent peak up to now
         quota.concurrency().meteredPeak(now, useMultiple);
         quota.meter().reportedPeak(now, useMultiple);
     }
--- a/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
@@ -3,94 +3,125 @@
 import caperrudder.api.Plan;
 
 /**
- * The odds that a request which this gateway admits is beyond its customer's quota, and what they make the request
- * worth. Where gateways learn of each other by the meter alone, one of many meets most customers for the first time:
- * it knows nothing of them, but responses show how often such requests of their plan turned out beyond.
+ * Admits requests of one plan by their expected value, given the probability that a request is over its customer's
+ * quota. Used if the meter alone reports what other gateways admit: one gateway of many then knows nothing of the use
+ * of most customers, but learns from responses how often requests of unknown customers were over the quota.
  *
  * <p>Not thread-safe.
  */
 final class AdmissionOdds {
-    private static final double LEAST_GAIN = 0.05; // weight of one response in the odds of a plan
-    private static final double PRIOR_RESPONSES = 1; // inside, as if seen before the first response
-    private static final double FADE_MS = 60_000; // odds that no response confirms fade: requests are admitted again
-    private static final double KNOWN_PERIODS = 1.5; // of the meter: so soon its figure of a customer ages
-    private static final double RETRY_VALUE = 0.15; // of its value: what a rejected client still gets by its retry
-    private static final double MARGIN = 0.15; // of the value about zero, in which some are admitted
-    private static final double LEAST_SHARE = 0.05; // admitted whatever the odds, so that they are learned anew
-    private static final double EMPTY_SHARE = 0.75; // of the time over its rate in which a bucket is empty already
-    private static final double PEAK_OF_MEAN = 2; // open requests: the peak of a period as a multiple of their mean
-    private static final double FIRST_CREDIT = 0.5;
+    /** Lower bound of the weight that one response has in the estimate of the plan. */
+    private static final double MIN_LEARNING_RATE = 0.05;
+    /** Responses within the quota that are assumed before the first response. */
+    private static final double PRIOR_RESPONSES = 1;
+    /** Time constant of the estimate's decay without responses; requests are admitted again as it decays. */
+    private static final double ESTIMATE_DECAY_MS = 60_000;
+    /** Time constant, in periods of the meter, of the weight of a customer's last figure. */
+    private static final double FIGURE_DECAY_METER_PERIODS = 1.5;
+    /** Share of a request's value that its client still gets by a retry after a rejection. */
+    private static final double REJECTED_VALUE_SHARE = 0.15;
+    /** Distance from an expected value of zero within which a part of the requests is admitted. */
+    private static final double BREAK_EVEN_MARGIN = 0.15;
+    /** Share of requests that is admitted at any expected value, so that the estimate is updated. */
+    private static final double MIN_ADMITTED_SHARE = 0.05;
+    /** Share of the time in which a bucket is empty while the customer's use is over its rate. */
+    private static final double EMPTY_BUCKET_TIME_SHARE = 0.75;
+    /** Most requests open at once in a period of the meter, relative to their mean. */
+    private static final double PEAK_TO_MEAN_RATIO = 2;
+
+    private static final double INITIAL_CREDIT = 0.5;
 
     private final Plan plan;
-    private final double knownMs;
-    private double beyondQuota;
+    private final double figureDecayMs;
+    private double overQuotaProbability;
     private double meanUnits = 1;
     private double learnedAt;
     private int responses;
-    private double credit = FIRST_CREDIT; // shares of requests not admitted yet: one is worth a request
+    private double credit = INITIAL_CREDIT; // sum of the shares of requests to admit; each admission takes 1
 
     AdmissionOdds(Plan plan, double meterPeriodMs) {
         this.plan = plan;
-        this.knownMs = KNOWN_PERIODS * meterPeriodMs;
+        this.figureDecayMs = FIGURE_DECAY_METER_PERIODS * meterPeriodMs;
     }
 
-    /** Whether the gateway knows so little of a customer by now that its next response counts for its plan. */
+    /**
+     * Returns whether the meter's last figure of a customer is so old that the customer counts as unknown, and its next
+     * response counts for the estimate of the plan.
+     */
     boolean isUnknown(double figureAgeMs) {
-        return figureAgeMs > knownMs;
+        return figureAgeMs > figureDecayMs;
     }
 
-    /** A response for a customer that was unknown; its use by all gateways is a multiple of its quota, as metered. */
+    /**
+     * Updates the estimate by a response for a customer that was unknown.
+     *
+     * @param useMultiple metered use of all gateways as a multiple of the customer's quota
+     */
     void learn(double now, double units, double useMultiple) {
-        double gain = Math.max(LEAST_GAIN, 1 / (PRIOR_RESPONSES + ++responses));
-        double faded = faded(now);
-        beyondQuota = faded + gain * (beyondAt(useMultiple) - faded);
-        meanUnits += gain * (units - meanUnits);
+        double learningRate = Math.max(MIN_LEARNING_RATE, 1 / (PRIOR_RESPONSES + ++responses));
+        double previous = decayedProbability(now);
+        overQuotaProbability = previous + learningRate * (probabilityAtUse(useMultiple) - previous);
+        meanUnits += learningRate * (units - meanUnits);
         learnedAt = now;
     }
 
     /**
-     * Admits what is worth more than it costs, and little of what isn't.
+     * Returns whether to admit a request. All requests are admitted if their expected value is well above that of a
+     * rejection, and a small share if it is well below.
      *
-     * @param valueShare of its value that a response to this request earns on the mean, by its time
-     * @param takenFromOthers value that the hosts' time for this request costs others, as a share of its own
-     * @param figureAgeMs age of the meter's last figure of its customer, {@code useMultiple}
+     * @param valueShare share of the request's value that a response is expected to earn, by its latency
+     * @param delayCostShare value that other requests lose by the delay, as a share of this request's value
+     * @param figureAgeMs age of the meter's last figure of the customer, {@code useMultiple}
+     * @param useMultiple metered use of all gateways as a multiple of the customer's quota
      */
     boolean admits(
             double now,
             double units,
             double valueShare,
-            double takenFromOthers,
+            double delayCostShare,
             double figureAgeMs,
             double useMultiple) {
-        double known = Math.exp(-figureAgeMs / knownMs);
-        double odds = known * beyondAt(useMultiple) + (1 - known) * unknownBeyond(now, units);
-        double excessCost = plan.overQuotaCost() - plan.overQuotaValue();
-        double value = (1 - odds) * valueShare - odds * excessCost - takenFromOthers - RETRY_VALUE;
-        credit += Math.max(LEAST_SHARE, Math.min(1, (value + MARGIN) / (2 * MARGIN)));
+        double figureWeight = Math.exp(-figureAgeMs / figureDecayMs);
+        double probability =
+                figureWeight * probabilityAtUse(useMultiple) + (1 - figureWeight) * unknownProbability(now, units);
+        double netExcessCost = plan.overQuotaCost() - plan.overQuotaValue();
+        double expectedValue = (1 - probability) * valueShare
+                - probability * netExcessCost
+                - delayCostShare
+                - REJECTED_VALUE_SHARE;
+        credit += Math.max(
+                MIN_ADMITTED_SHARE, Math.min(1, (expectedValue + BREAK_EVEN_MARGIN) / (2 * BREAK_EVEN_MARGIN)));
         if (credit < 1) return false;
         credit -= 1;
         return true;
     }
 
-    private double faded(double now) {
-        return beyondQuota * Math.exp(-(now - learnedAt) / FADE_MS);
+    private double decayedProbability(double now) {
+        return overQuotaProbability * Math.exp(-(now - learnedAt) / ESTIMATE_DECAY_MS);
     }
 
-    /** In a bucket that is nearly empty more units find no space more often; open requests all count one. */
-    private double unknownBeyond(double now, double units) {
-        double mean = faded(now);
+    /**
+     * Returns the probability that a request of an unknown customer is over the quota. With a rate it grows with the
+     * units of the request, because a nearly empty bucket more often lacks them; with a concurrency limit all requests
+     * count alike.
+     */
+    private double unknownProbability(double now, double units) {
+        double mean = decayedProbability(now);
         return plan.unitsPerSecond() > 0 ? Math.min(1, mean * units / meanUnits) : mean;
     }
 
-    private double beyondAt(double useMultiple) {
+    private double probabilityAtUse(double useMultiple) {
         return plan.unitsPerSecond() > 0
-                ? EMPTY_SHARE * (1 - 1 / Math.max(1, useMultiple))
-                : concurrencyBeyond(useMultiple);
+                ? EMPTY_BUCKET_TIME_SHARE * (1 - 1 / Math.max(1, useMultiple))
+                : concurrencyProbabilityAtUse(useMultiple);
     }
 
-    /** Requests open at once vary as Poisson counts: the odds that the limit is reached when one more comes. */
-    private double concurrencyBeyond(double useMultiple) {
-        double mean = useMultiple * plan.concurrencyLimit() / PEAK_OF_MEAN;
+    /**
+     * Returns the probability that the concurrency limit is reached when a request arrives, with a Poisson distribution
+     * of the number of open requests.
+     */
+    private double concurrencyProbabilityAtUse(double useMultiple) {
+        double mean = useMultiple * plan.concurrencyLimit() / PEAK_TO_MEAN_RATIO;
         double term = Math.exp(-mean);
         double belowLimit = 0;
         for (int open = 0; open < plan.concurrencyLimit(); open++) {
--- a/src/main/java/caperrudder/policy/quota/AdmissionVerdict.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionVerdict.java
@@ -1,11 +1,11 @@
 package caperrudder.policy.quota;
 
-/** What this gateway decides on a request by its own knowledge. */
+/** The decision on a request that this gateway makes from its own knowledge. */
 public enum AdmissionVerdict {
-    /** The request fits what this gateway may admit by itself. */
+    /** The request is within what this gateway may admit by itself. */
     ADMIT,
-    /** The request is beyond the quota, or not worth its odds of being so. */
+    /** The request is over the quota, or too likely over it to be worth admitting. */
     REJECT,
-    /** Only the owner of the quota can decide. */
+    /** Only an owner of the quota can decide. */
     ASK_OWNER
 }
--- a/src/main/java/caperrudder/policy/quota/QuotaRequest.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaRequest.java
@@ -1,13 +1,13 @@
 package caperrudder.policy.quota;
 
-/** What admission needs to know of a request. */
+/** The properties of a request that admission depends on. */
 public interface QuotaRequest {
-    /** Units of the quota that the request uses. */
+    /** Returns the units of the quota that the request uses. */
     double units();
 
-    /** Whether its client marked it as a retry of a rejected request. */
+    /** Returns whether the client marked the request as a retry of a rejected one. */
     boolean isClientRetry();
 
-    /** Share of its value, 0 to 1, that a response is expected to earn, given how soon its class is served. */
+    /** Returns the share of the request's value, 0 to 1, that its response is expected to earn, by its latency. */
     double expectedValueShare();
 }
--- a/src/main/java/caperrudder/policy/quota/RejectionListener.java
+++ b/src/main/java/caperrudder/policy/quota/RejectionListener.java
@@ -1,6 +1,7 @@
 package caperrudder.policy.quota;
 
-/** Notified of demand that a quota left no capacity for, so that the customer's owner may learn of it. */
+/** Is notified of requests that exceed a quota, so that it can report their demand to the quota's owner. */
 public interface RejectionListener {
+    /** Called when a request is rejected because the quota is used up. */
     void quotaExhausted(double now, CustomerQuota quota);
 }
--- a/src/main/java/caperrudder/policy/quota/UsageSource.java
+++ b/src/main/java/caperrudder/policy/quota/UsageSource.java
@@ -2,16 +2,16 @@
 
 import caperrudder.api.Settings;
 
-/** How the gateways of one deployment learn what the others let a customer use. */
+/** How the gateways of a deployment learn what other gateways admit for a customer. */
 public enum UsageSource {
-    /** By messages between gateways. */
+    /** From messages between gateways. */
     PEERS,
-    /** By the meter alone, whose figures arrive with the responses of hosts. */
+    /** From the meter alone, whose figures arrive with the responses of hosts. */
     METER,
     /** Not at all. */
     NONE;
 
-    /** As the settings allow it: messages are preferred to the meter. */
+    /** Returns the source that the settings allow; messages are preferred to the meter. */
     public static UsageSource of(Settings settings) {
         if (settings.limits().peerMessages()) return PEERS;
         return settings.sharing().meterPeriodMs() > 0 ? METER : NONE;
