--- a/src/main/java/caperrudder/policy/quota/CeilingBucket.java
+++ b/src/main/java/caperrudder/policy/quota/CeilingBucket.java
@@ -3,8 +3,8 @@
 import caperrudder.api.Plan;
 
 /**
- * This gateway's share of a plan's ceiling, the hard limit that no replica set may pass (BENCH, fifth rule).
- * Shares sum to one over the replica set, and each is spent by its holder alone; owners may hand units on.
+ * This gateway's share of a plan's ceiling, the hard limit that a replica set must not exceed (BENCH, fifth rule).
+ * The shares of a replica set sum to one. Each gateway spends only its own share; owners can hand units over to others.
  *
  * <p>Not thread-safe.
  */
@@ -14,12 +14,14 @@
     private final Plan plan;
     private final double share;
     private double level;
-    private double unsentUnits; // admitted, but their requests have not left yet
+    private double unsentUnits; // reserved for admitted requests that have not been sent to a host yet
 
     /**
-     * @param share of the ceiling, 0 to 1
-     * @param elapsedMs time since this gateway started. The bucket begins with what has filled since then, never with
-     *     a burst: the process before may have spent it.
+     * Creates a bucket that holds the units of the time since this gateway started, at most the burst. It does not
+     * start with a full burst, because the predecessor may have spent it.
+     *
+     * @param share this gateway's share of the ceiling, 0 to 1
+     * @param elapsedMs time since this gateway started
      */
     CeilingBucket(Plan plan, double share, double elapsedMs) {
         this.plan = plan;
@@ -32,7 +34,7 @@
         return plan.ceilingBurstUnits() * share;
     }
 
-    /** Whether the plan has a ceiling at all. */
+    /** Returns whether the plan has a ceiling. */
     boolean isLimited() {
         return plan.ceilingUnitsPerSecond() > 0;
     }
@@ -41,38 +43,41 @@
         return level;
     }
 
-    /** True where there is no ceiling, too. */
+    /** Returns whether the bucket holds {@code units}; always true if the plan has no ceiling. */
     boolean admits(double units) {
         return !isLimited() || level >= units;
     }
 
-    /** Units not sent yet are still in the bucket that the hosts see, and it may not overfill (BENCH, fifth rule). */
+    /**
+     * Adds the units of an interval. Units that are reserved but not sent yet take up capacity, because the hosts have
+     * not counted them yet and the bucket as they see it must not overflow (BENCH, fifth rule).
+     */
     void refill(double seconds) {
         level = Math.min(capacity() - unsentUnits, level + plan.ceilingUnitsPerSecond() * share * seconds);
     }
 
     /**
-     * Units come from another gateway, reported as running totals.
+     * Adds units that another gateway handed over. It reports them as a running total.
      *
-     * @param givenInAll units that it gave so far
-     * @param takenBefore those of them that are counted here already
+     * @param totalHandedOver units handed over by the other gateway so far
+     * @param alreadyReceived the part of them that this bucket has received before
      */
-    void receive(double givenInAll, double takenBefore) {
-        level = Math.min(capacity() - unsentUnits, level + givenInAll - takenBefore);
+    void receive(double totalHandedOver, double alreadyReceived) {
+        level = Math.min(capacity() - unsentUnits, level + totalHandedOver - alreadyReceived);
     }
 
-    /** Takes units for a request that is yet to leave, or gives back those of one that never will (negative). */
+    /** Reserves units for an admitted request until it is sent; a negative number refunds those of one never sent. */
     void reserve(double units) {
         unsentUnits += units;
         level -= units;
     }
 
-    /** The request that units were reserved for has left. */
+    /** Marks reserved units as sent with their request. */
     void sent(double units) {
         unsentUnits -= units;
     }
 
-    /** Units go to another gateway. */
+    /** Removes units that another gateway receives. */
     void handOver(double units) {
         level -= units;
     }
--- a/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
@@ -3,27 +3,27 @@
 import caperrudder.api.Plan;
 
 /**
- * A customer's limit on requests open at once over all gateways, where its plan has one.
+ * A customer's limit on the requests that are open at the same time over all gateways, if its plan has one.
  *
  * <p>Not thread-safe.
  */
 final class ConcurrencyQuota {
-    /** Of a replica set, so many gateways may bring a customer at a time. */
-    private static final double BUSY_REPLICAS_SHARE = 0.25;
-    /** A metered peak holds so many times as long as each gateway of the set needs to admit one request. */
-    private static final double PEAK_INTERVALS = 1.5;
+    /** Share of a replica set's gateways that are expected to admit requests of one customer at the same time. */
+    private static final double ACTIVE_REPLICAS_SHARE = 0.25;
+    /** Validity of a metered peak, in admission intervals. */
+    private static final double PEAK_VALID_INTERVALS = 1.5;
 
     private final int limit;
     private final int replicaCount;
     private final boolean paced;
     private int open;
     private int openAtOthers;
-    private double recentPeak; // most open here at once of late; fades
-    private double intervalMs; // in which each gateway of the set could admit one, for all to use the limit
+    private double recentPeak; // most requests open here at the same time; decays
+    private double admissionIntervalMs; // if each gateway of the set admits one request in it, the limit is in full use
     private double nextAdmissionAt = Double.NEGATIVE_INFINITY;
     private double peakValidUntil = Double.NEGATIVE_INFINITY;
 
-    /** @param metered whether the use by other gateways is known by the meter alone */
+    /** @param metered whether the meter alone reports the use by other gateways */
     ConcurrencyQuota(Plan plan, int replicaCount, boolean metered) {
         this.limit = plan.concurrencyLimit();
         this.replicaCount = replicaCount;
@@ -38,7 +38,7 @@
         return open;
     }
 
-    /** Open at other gateways, as last reported. */
+    /** Returns the requests open at other gateways, as last reported. */
     int openAtOthers() {
         return openAtOthers;
     }
@@ -47,7 +47,7 @@
         openAtOthers = requests;
     }
 
-    /** Adds requests reported as open at another gateway, or takes them off where negative. */
+    /** Changes the number of requests open at other gateways by {@code requests}, which may be negative. */
     void addOpenAtOthers(int requests) {
         openAtOthers += requests;
     }
@@ -57,52 +57,55 @@
     }
 
     /**
-     * A request was admitted. Where others are known by the meter alone, one that admits one after another counts on
-     * many that do the same: the next one is admitted no sooner than if some of the set in turn kept the limit in use.
+     * Counts an admitted request as open. If the meter alone reports the use by other gateways, further admissions are
+     * delayed, because other gateways that admit requests of the customer are noticed late: with
+     * {@link #ACTIVE_REPLICAS_SHARE} of the set admitting at this pace, the limit is in full use.
      *
      * @param expectedMs time that the request is expected to be open
      */
     void opened(double now, double expectedMs) {
         recentPeak = Math.max(recentPeak, ++open);
-        intervalMs = paced ? replicaCount * expectedMs / limit : 0;
-        nextAdmissionAt = now + BUSY_REPLICAS_SHARE * intervalMs;
+        admissionIntervalMs = paced ? replicaCount * expectedMs / limit : 0;
+        nextAdmissionAt = now + ACTIVE_REPLICAS_SHARE * admissionIntervalMs;
     }
 
     void closed() {
         open--;
     }
 
-    /** Whether the time to admit a further request has come. */
+    /** Returns whether the pace of admissions allows another one now. */
     boolean isNextDue(double now) {
         return now >= nextAdmissionAt;
     }
 
+    /** Returns the time in milliseconds until the pace allows another admission; not positive if it does now. */
     double nextAdmissionInMs(double now) {
         return nextAdmissionAt - now;
     }
 
-    /** Whether the meter's figure of what others have open still holds. */
+    /** Returns whether the number of requests open at other gateways, as computed from the meter, is still valid. */
     boolean isPeakValid(double now) {
         return now < peakValidUntil;
     }
 
-    /** Whether a request fits under the limit beside those known to be open anywhere. */
+    /** Returns whether one more request fits the limit, counting the requests open at all gateways. */
     boolean fitsTotal() {
         return open + openAtOthers < limit;
     }
 
-    /** Whether a request fits under this gateway's share, 0 to 1, of the limit; one always does. */
+    /** Returns whether one more request fits this gateway's share, 0 to 1, of the limit; the first one always fits. */
     boolean fitsShare(double share) {
         return open < Math.max(1, (int) (limit * share));
     }
 
     /**
-     * The meter reports the most requests open at once of late, as a multiple of the limit. It holds so long that if
-     * each gateway then admitted one, these would be half of the limit on the mean.
+     * Derives the number of requests open at other gateways from the peak that the meter reports.
+     *
+     * @param multipleOfLimit most requests recently open at the same time at all gateways, as a multiple of the limit
      */
     void meteredPeak(double now, double multipleOfLimit) {
         double peak = multipleOfLimit * limit;
         openAtOthers = replicaCount == 1 ? 0 : (int) Math.max(0, Math.round(peak - recentPeak));
-        peakValidUntil = now + PEAK_INTERVALS * intervalMs;
+        peakValidUntil = now + PEAK_VALID_INTERVALS * admissionIntervalMs;
     }
 }
--- a/src/main/java/caperrudder/policy/quota/CustomerQuota.java
+++ b/src/main/java/caperrudder/policy/quota/CustomerQuota.java
@@ -4,9 +4,9 @@
 import caperrudder.api.QuotaSnapshot;
 
 /**
- * One customer's quota as this gateway keeps it: identity, buckets, demand, and what owners and the meter reported.
- * The plan and the replica set that came first stand as long as the customer is remembered. Levels are units; the
- * buckets are as of the last refill.
+ * One customer's quota as this gateway keeps it: plan, replica set, buckets, demand, and what owners and the meter
+ * reported. The plan and the replica set are those of the customer's first request and do not change. Levels are in
+ * units, as of the last refill.
  *
  * <p>Not thread-safe.
  */
@@ -20,18 +20,18 @@
     private final int[] owners;
     private final int replicaCount;
     private final TokenBucket local; // this gateway's own share
-    private final TokenBucket shared; // of the replica set: as its owner what is booked, else the most it can hold
+    private final TokenBucket shared; // of the replica set: the booked level at an owner, an upper bound elsewhere
     private final CeilingBucket ceiling;
     private final ConcurrencyQuota concurrency;
     private final MeteredUse meter;
     private final DemandEstimate demand = new DemandEstimate();
     private double refilledAt;
     private double usedUnits; // running total
-    private double restoredUnits = Double.NEGATIVE_INFINITY; // of the process before, charged here already
+    private double restoredUnits = Double.NEGATIVE_INFINITY; // running total of the predecessor that is charged here
     private double ownerRepliedAt = Double.NEGATIVE_INFINITY;
-    private boolean informed; // as an owner: knows what was used before its start
+    private boolean earlierUseKnown; // as an owner: the shared level reflects use before this gateway started
 
-    /** What a new quota begins with. */
+    /** The initial state of a new quota. */
     record Initial(double localTokens, CeilingBucket ceiling, ConcurrencyQuota concurrency, double now) {}
 
     CustomerQuota(
@@ -57,38 +57,42 @@
         this.local = new TokenBucket(-burst / replicaCount, Double.POSITIVE_INFINITY, initial.localTokens());
     }
 
+    /** Returns the number of the customer. */
     public long customer() {
         return customer;
     }
 
-    /** Index of the plan in the settings. */
+    /** Returns the index of the plan in the settings. */
     public int planNumber() {
         return planNumber;
     }
 
+    /** Returns the plan of the customer. */
     public Plan plan() {
         return plan;
     }
 
-    /** Number of the first gateway of the replica set. */
+    /** Returns the number of the first gateway of the replica set. */
     public int firstReplica() {
         return firstReplica;
     }
 
-    /** Gateways that may receive the customer's requests, at least 1. */
+    /** Returns the number of gateways that may receive the customer's requests, at least 1. */
     public int replicaCount() {
         return replicaCount;
     }
 
+    /** Returns the number of gateways that own the quota. */
     public int ownerCount() {
         return owners.length;
     }
 
-    /** The gateway that stands at a rank, from 0, among the quota's owners. */
+    /** Returns the number of the gateway that has the given rank, from 0, among the quota's owners. */
     public int owner(int rank) {
         return owners[rank];
     }
 
+    /** Returns whether the gateway with the given number owns the quota. */
     public boolean isOwner(int gateway) {
         for (int owner : owners) {
             if (owner == gateway) return true;
@@ -122,7 +126,7 @@
         return refilledAt;
     }
 
-    /** The last use lies further back than the quota's creation, as a snapshot says. */
+    /** Moves the time of the last refill back to that of a snapshot, so that the next refill covers the time since. */
     void lastUsedAt(double at) {
         refilledAt = at;
     }
@@ -132,19 +136,19 @@
     }
 
     /**
-     * Fills the buckets and lets averages fade up to now.
+     * Refills the buckets and decays the averages up to {@code now}.
      *
-     * @param share of the demand that comes to this gateway, 0 to 1, as of before
-     * @param localCapacity units that the local bucket holds with that share
+     * @param share this gateway's share of the demand since the last refill, 0 to 1
+     * @param localCapacity capacity of the local bucket for that share, in units
      */
     void refill(double now, double share, double localCapacity) {
         double elapsedMs = now - refilledAt;
         double seconds = elapsedMs / MS_PER_SECOND;
-        double fade = DemandEstimate.fadeOver(elapsedMs);
+        double decayFactor = DemandEstimate.fadeOver(elapsedMs);
         refilledAt = now;
-        demand.fade(fade);
-        meter.fade(fade);
-        concurrency.fade(fade);
+        demand.fade(decayFactor);
+        meter.fade(decayFactor);
+        concurrency.fade(decayFactor);
         shared.refill(plan.unitsPerSecond() * seconds);
         meter.refill(now, seconds);
         local.refill(share * plan.unitsPerSecond() * seconds, localCapacity);
@@ -153,30 +157,34 @@
 
     // ---- requests
 
-    /** A request was admitted; it is expected to be open so long. */
+    /**
+     * Charges an admitted request to the quota.
+     *
+     * @param expectedMs time that the request is expected to be open
+     */
     public void admitted(double now, double units, double expectedMs) {
         concurrency.opened(now, expectedMs);
         charge(units);
         ceiling.reserve(units);
     }
 
-    /** The first attempt for an admitted request left for a host. */
+    /** Marks the units of an admitted request as sent; called when its first attempt is sent to a host. */
     public void sent(double units) {
         ceiling.sent(units);
     }
 
-    /** An admitted request has ended. */
+    /** Removes an admitted request that has ended from the open ones. */
     public void closed() {
         concurrency.closed();
     }
 
-    /** An admitted request ended without having been sent whole: its units are given back. */
+    /** Refunds the units of an admitted request that ended before it was completely sent. */
     public void giveBack(double units) {
         charge(-units);
         ceiling.reserve(-units);
     }
 
-    /** Takes units from the quota, or gives them back where negative. */
+    /** Takes units from the quota; a negative number refunds them. */
     public void charge(double units) {
         local.take(units);
         shared.take(units);
@@ -184,7 +192,10 @@
         usedUnits += units;
     }
 
-    /** Time until the shared bucket holds so many units, or until a further request may be admitted. */
+    /**
+     * Returns the time in milliseconds until a request may be admitted: with a rate when the shared bucket holds
+     * {@code units}, otherwise when the pace of admissions allows it. Not positive if that is now.
+     */
     public double retryAfterMs(double now, double units) {
         return hasRate()
                 ? MS_PER_SECOND * (units - shared.level()) / plan.unitsPerSecond()
@@ -199,119 +210,138 @@
         return shared.level() >= units;
     }
 
-    /** Whether the shared bucket holds so many units beside a reserve. */
+    /** Returns whether the shared bucket holds {@code units} in addition to {@code reserve}. */
     boolean sharedHolds(double units, double reserve) {
         return shared.level() - reserve >= units;
     }
 
     /**
-     * Whether the request may be admitted without an owner's decision: by the shared bucket where this gateway decides
-     * for all, else by its own share.
+     * Returns whether a request may be admitted without an owner's decision.
+     *
+     * @param decidesForAll whether this gateway decides for the whole replica set, so that the shared bucket applies;
+     *     otherwise its own share does
      */
     public boolean admitsUndecided(double units, boolean decidesForAll) {
         TokenBucket bucket = decidesForAll ? shared : local;
         return (!hasRate() || bucket.level() >= units) && ceiling.admits(units);
     }
 
-    // ---- what replicas and owners inform each other of
+    // ---- exchange between replicas and owners
 
-    /** Units used here so far, as a running total. */
+    /** Returns the units used at this gateway, as a running total. */
     public double usedUnits() {
         return usedUnits;
     }
 
-    /** Units per second that are demanded at this gateway. */
+    /** Returns the demand at this gateway in units per second. */
     public double ownDemandPerSecond() {
         return demand.own();
     }
 
-    /** Units per second that are demanded anywhere. */
+    /** Returns the demand at all gateways in units per second, as last reported. */
     public double totalDemandPerSecond() {
         return demand.total();
     }
 
-    /** Requests open at this gateway. */
+    /** Returns the number of requests open at this gateway. */
     public int open() {
         return concurrency.open();
     }
 
-    /** Requests open anywhere. */
+    /** Returns the number of requests open at all gateways, as last reported. */
     public int openAnywhere() {
         return concurrency.open() + concurrency.openAtOthers();
     }
 
-    /** Level of the shared bucket as a share of its capacity; 1 where it has none. */
+    /** Returns the fill ratio of the shared bucket, negative while it has a debt; 1 if the plan has no burst. */
     public double fullness() {
         return plan.burstUnits() > 0 ? shared.level() / plan.burstUnits() : 1;
     }
 
+    /** Returns whether the plan has a ceiling. */
     public boolean hasCeiling() {
         return ceiling.isLimited();
     }
 
-    /** Whether this gateway's share of the ceiling holds so many units; true where there is no ceiling. */
+    /** Returns whether this gateway's share of the ceiling holds {@code units}; always true without a ceiling. */
     public boolean ceilingAdmits(double units) {
         return ceiling.admits(units);
     }
 
-    /** Whether this gateway, as an owner, knows what was used before its start. */
+    /** Returns whether this gateway, as an owner, knows what was used before it started. */
     public boolean isInformed() {
-        return informed;
+        return earlierUseKnown;
     }
 
-    /** Age of the last reply of an owner; infinite where there is none. */
+    /** Returns the age of the last reply of an owner in milliseconds, infinite if there is none. */
     public double ownerReplyAgeMs(double now) {
         return now - ownerRepliedAt;
     }
 
-    /** Another gateway's view of the shared bucket is taken over; where asked for, only if it is lower. */
+    /**
+     * Sets the level of the shared bucket to the fill ratio that another gateway reported.
+     *
+     * @param onlyIfLower whether a level above the present one is ignored
+     */
     public void adoptFullness(double fullness, boolean onlyIfLower) {
-        double most = onlyIfLower ? shared.level() : plan.burstUnits();
-        shared.setLevel(Math.min(most, fullness * plan.burstUnits()));
-        informed = true;
+        double maxLevel = onlyIfLower ? shared.level() : plan.burstUnits();
+        shared.setLevel(Math.min(maxLevel, fullness * plan.burstUnits()));
+        earlierUseKnown = true;
     }
 
-    /** An owner replied with what it booked and what it knows of the others. */
-    public void ownerReplied(double now, double othersDemand, int othersOpen, double sharedLevel) {
-        demand.setOthers(othersDemand);
-        concurrency.setOpenAtOthers(othersOpen);
+    /**
+     * Takes over an owner's reply.
+     *
+     * @param peerDemandPerSecond demand at the other gateways in units per second
+     * @param peerOpenRequests requests open at the other gateways
+     * @param sharedLevel level of the shared bucket in units
+     */
+    public void ownerReplied(double now, double peerDemandPerSecond, int peerOpenRequests, double sharedLevel) {
+        demand.setOthers(peerDemandPerSecond);
+        concurrency.setOpenAtOthers(peerOpenRequests);
         ownerRepliedAt = now;
-        informed = true;
+        earlierUseKnown = true;
         shared.setLevel(sharedLevel);
     }
 
-    /** As an owner: a replica's demand was so much and now is another. */
+    /** Replaces the previous demand of a replica by its present demand; called at owners. */
     public void replicaDemandChanged(double newPerSecond, double oldPerSecond) {
         demand.replaceOthers(newPerSecond, oldPerSecond);
     }
 
-    /** As an owner: a replica has so many more requests open, or fewer where negative. */
-    public void replicaOpenChanged(int more) {
-        concurrency.addOpenAtOthers(more);
+    /** Adds {@code change}, which may be negative, to the requests open at other gateways; called at owners. */
+    public void replicaOpenChanged(int change) {
+        concurrency.addOpenAtOthers(change);
     }
 
-    /** As an owner: books units that a replica used, or gave back where negative. */
+    /** Books units that a replica used, or refunded if negative; called at owners. */
     public void book(double units) {
         shared.take(units);
     }
 
+    /** Returns whether the shared bucket holds {@code units}, always true without a rate; called at owners. */
     public boolean canGrant(double units) {
         return !hasRate() || shared.level() >= units;
     }
 
-    /** As an owner: takes units that were granted to a replica. */
+    /** Takes units that are granted to a replica; called at owners. */
     public void grant(double units) {
         shared.takeUnchecked(units);
     }
 
-    /** As an owner: hands ceiling units to a replica. */
+    /** Hands units of the ceiling over to a replica; called at owners. */
     public void handOverCeiling(double units) {
         ceiling.handOver(units);
     }
 
-    /** Ceiling units come from an owner, reported as running totals. */
-    public void receiveCeiling(double givenInAll, double takenBefore) {
-        ceiling.receive(givenInAll, takenBefore);
+    /**
+     * Adds units of the ceiling that an owner handed over.
+     *
+     * @param totalHandedOver units handed over by the owner so far
+     * @param alreadyReceived the part of them that this gateway has received before
+     */
+    public void receiveCeiling(double totalHandedOver, double alreadyReceived) {
+        ceiling.receive(totalHandedOver, alreadyReceived);
     }
 
     // ---- snapshot
@@ -333,29 +363,31 @@
                 meter.othersPerSecond());
     }
 
-    /** Whether a snapshot of the process before this one was taken over already. */
+    /** Returns whether a snapshot of the predecessor has been restored. */
     boolean isRestored() {
         return restoredUnits > Double.NEGATIVE_INFINITY;
     }
 
     /**
-     * Takes over what the process before this one left. What both processes count from a full bucket is in the
-     * other's snapshot alone, so what was used here is taken off.
+     * Restores the predecessor's state. Its snapshot does not include what this process has used since its own start,
+     * so {@code usedHere} is subtracted from the saved levels.
+     *
+     * @param usedHere units used by this process
      */
     void restore(double now, QuotaSnapshot saved, double usedHere) {
         shared.restore(saved.sharedLevel(), usedHere);
         local.setLevel(Math.min(plan.burstUnits(), saved.localTokens()) - usedHere);
         demand.addOwn(saved.demandPerSecond());
         meter.restore(now, saved, usedHere);
-        informed = true;
+        earlierUseKnown = true;
     }
 
-    /** Charges what the process before this one used since it was last heard of. */
+    /** Charges what the predecessor has used since its previous snapshot. */
     void chargeRestoredUse(QuotaSnapshot saved) {
         charge(Math.max(0, saved.usedUnits() - restoredUnits));
     }
 
-    /** So much of the other process's use is now counted here. */
+    /** Records up to which running total the predecessor's use is charged here. */
     void noteRestoredUse(QuotaSnapshot saved) {
         restoredUnits = Math.max(restoredUnits, saved.usedUnits());
     }
--- a/src/main/java/caperrudder/policy/quota/QuotaTable.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaTable.java
@@ -11,21 +11,26 @@
 import java.util.function.Predicate;
 
 /**
- * The quotas of all customers that this gateway remembers, at most {@value #MAX_CUSTOMERS}.
+ * The quotas of recently active customers, at most {@value #MAX_CUSTOMERS}.
  *
  * <p>Not thread-safe.
  */
 public final class QuotaTable {
-    /** An idle customer is forgotten after so long, and not before. */
+    /** Minimum idle time after which a customer is removed from the table. */
     public static final double FORGET_AFTER_MS = 20_000;
 
-    /** What {@link #planNumber} says of a plan that the settings do not name. */
+    /** Returned by {@link #planNumber} for a plan that the settings do not contain. */
     public static final int UNKNOWN_PLAN = -1;
 
-    private static final int MAX_CUSTOMERS = 20_000; // a new customer beyond them is rejected
-    private static final int MAX_SAVED_CUSTOMERS = 4000; // of a snapshot: those used last
-    private static final double FILL_TIMES = 2; // an idle customer's slowest bucket could have filled so often
-    private static final double OWNER_CEILING_SHARE = 0.5; // held by the first owner; the rest evenly
+    /** Requests of further customers are rejected. */
+    private static final int MAX_CUSTOMERS = 20_000;
+    /** A snapshot holds the most recently used customers. */
+    private static final int MAX_SNAPSHOT_CUSTOMERS = 4000;
+    /** Idle time before a customer is removed, as a multiple of the time in which its slowest bucket fills. */
+    private static final double IDLE_TO_FILL_TIME_RATIO = 2;
+    /** Share of a ceiling reserved for the first owner; the rest is divided evenly over the replica set. */
+    private static final double FIRST_OWNER_CEILING_SHARE = 0.5;
+
     private static final double MS_PER_SECOND = 1000;
 
     private final Map<Long, CustomerQuota> quotas = new LinkedHashMap<>();
@@ -37,7 +42,7 @@
     private final DemandShares shares;
     private final double startedAt;
 
-    /** @param now time of this gateway's start; ceilings fill from then on */
+    /** @param now time at which this gateway starts; ceilings fill from then on */
     public QuotaTable(double now, Settings settings, OwnerLocator owners) {
         this.startedAt = now;
         this.settings = settings;
@@ -51,20 +56,21 @@
         }
     }
 
-    /** Index of a plan in the settings, or {@link #UNKNOWN_PLAN}. */
+    /** Returns the index of a plan in the settings, or {@link #UNKNOWN_PLAN}. */
     public int planNumber(String plan) {
         Integer number = planNumbers.get(plan);
         return number == null ? UNKNOWN_PLAN : number;
     }
 
-    /** The quota of a customer, as of its last refill; null where it is not remembered. */
+    /** Returns the quota of a customer as of its last refill, or null if it is not in the table. */
     public CustomerQuota find(long customer) {
         return quotas.get(customer);
     }
 
     /**
-     * A customer's quota, refilled up to now; null where the table is full. The plan and the replica set that came
-     * first stand as long as the customer is remembered: who claims others gets no fresh buckets and moves no owner.
+     * Returns a customer's quota, refilled up to {@code now}, or null if it is new and the table is full. The plan and
+     * the replica set of a customer in the table do not change, so that requests with other values get no new buckets
+     * and do not change the owners.
      */
     public CustomerQuota findOrCreate(double now, long customer, int planNumber, int firstReplica, int replicaCount) {
         CustomerQuota quota = quotas.get(customer);
@@ -80,32 +86,33 @@
     private CustomerQuota create(double now, long customer, int planNumber, int firstReplica, int replicaCount) {
         Plan plan = settings.plans().get(planNumber);
         int replicas = Math.max(1, Math.min(replicaCount, gatewayCount));
-        int[] ranked = owners.ownersOf(customer, firstReplica, replicas);
-        // As full as it ever is; by the meter no more than its share, or all first requests would be admitted.
+        int[] rankedOwners = owners.ownersOf(customer, firstReplica, replicas);
+        // The bucket starts full. With the meter it starts with an even share of the burst, because the minimum
+        // capacity of one request would let each gateway admit a first request.
         double tokens = metered ? plan.burstUnits() / replicas : localCapacity(plan, 1.0 / replicas);
         CustomerQuota.Initial initial = new CustomerQuota.Initial(
                 tokens,
-                new CeilingBucket(plan, ceilingShare(replicas, ranked), now - startedAt),
+                new CeilingBucket(plan, ceilingShare(replicas, rankedOwners), now - startedAt),
                 new ConcurrencyQuota(plan, replicas, metered),
                 now);
-        return new CustomerQuota(customer, planNumber, plan, firstReplica, replicas, ranked, initial);
+        return new CustomerQuota(customer, planNumber, plan, firstReplica, replicas, rankedOwners, initial);
     }
 
-    /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
-    private double ceilingShare(int replicaCount, int[] ranked) {
+    /** Returns this gateway's share of a ceiling; the shares of a replica set sum to one. */
+    private double ceilingShare(int replicaCount, int[] rankedOwners) {
         if (replicaCount == 1) return 1;
-        boolean first = ranked[0] == settings.gatewayIndex();
-        return (first ? OWNER_CEILING_SHARE : 0) + (1 - OWNER_CEILING_SHARE) / replicaCount;
+        boolean firstOwner = rankedOwners[0] == settings.gatewayIndex();
+        return (firstOwner ? FIRST_OWNER_CEILING_SHARE : 0) + (1 - FIRST_OWNER_CEILING_SHARE) / replicaCount;
     }
 
-    /** Brings a quota's buckets and averages up to now. */
+    /** Refills a quota's buckets and decays its averages up to {@code now}. */
     public void refill(double now, CustomerQuota quota) {
         if (quota.idleMs(now) <= 0) return;
         double share = shares.of(now, quota);
         quota.refill(now, share, localCapacity(quota.plan(), share));
     }
 
-    /** The burst times the share, and at least one request, or the bucket could admit none. */
+    /** Returns this gateway's share of the burst, but at least the largest request so that it can be admitted. */
     private double localCapacity(Plan plan, double share) {
         return Math.max(
                 share * plan.burstUnits(),
@@ -113,9 +120,10 @@
     }
 
     /**
-     * Forgets customers that were idle so long that a new quota would give them no more.
+     * Removes customers that have been idle for so long that a new quota would hold no more units than theirs.
      *
-     * @param release drops what is kept beside a quota; false where it is still needed, and the quota stays
+     * @param release releases state that other components keep for a quota; returns false if that state is still in
+     *     use, and the quota then stays in the table
      */
     public void forgetIdle(double now, Predicate<CustomerQuota> release) {
         quotas.values()
@@ -123,39 +131,45 @@
                         quota.idleMs(now) > forgetAfterMs(quota.plan()) && quota.open() == 0 && release.test(quota));
     }
 
-    /** From then on an idle customer's buckets are as full as those of a new one: forgetting gives nothing. */
+    /** Returns the idle time after which the buckets of a customer are at least as full as those of a new one. */
     private static double forgetAfterMs(Plan plan) {
-        double quota = plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 0;
-        double ceiling = plan.ceilingUnitsPerSecond() > 0 ? plan.ceilingBurstUnits() / plan.ceilingUnitsPerSecond() : 0;
-        return Math.max(FORGET_AFTER_MS, FILL_TIMES * MS_PER_SECOND * Math.max(quota, ceiling));
+        double quotaFillSeconds = plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 0;
+        double ceilingFillSeconds =
+                plan.ceilingUnitsPerSecond() > 0 ? plan.ceilingBurstUnits() / plan.ceilingUnitsPerSecond() : 0;
+        return Math.max(
+                FORGET_AFTER_MS,
+                IDLE_TO_FILL_TIME_RATIO * MS_PER_SECOND * Math.max(quotaFillSeconds, ceilingFillSeconds));
     }
 
-    /** The customers used last, refilled up to now. */
+    /** Returns snapshots of the most recently used quotas, refilled up to {@code now}. */
     public List<QuotaSnapshot> snapshot(double now) {
         return quotas.values().stream()
                 .sorted(Comparator.comparingDouble(quota -> -quota.refilledAt()))
-                .limit(MAX_SAVED_CUSTOMERS)
+                .limit(MAX_SNAPSHOT_CUSTOMERS)
                 .peek(quota -> refill(now, quota))
                 .map(CustomerQuota::snapshot)
                 .toList();
     }
 
     /**
-     * Takes over a quota of the process before this one; from the second snapshot on, charges what that process used
-     * since the one before. One of a plan that is not known here, or not the customer's, changes nothing.
+     * Restores a quota from the predecessor's snapshot. From the customer's second snapshot on, only charges what the
+     * predecessor has used since the previous one. Does nothing if the plan is not in the settings or differs from the
+     * customer's plan here.
+     *
+     * @param takenAtMs time at which the snapshot was taken
      */
     public void restore(double now, double takenAtMs, QuotaSnapshot saved) {
-        boolean known = quotas.containsKey(saved.customer());
+        boolean existed = quotas.containsKey(saved.customer());
         int planNumber = planNumber(saved.plan());
         if (planNumber == UNKNOWN_PLAN) return;
         CustomerQuota quota =
                 findOrCreate(now, saved.customer(), planNumber, saved.firstReplica(), saved.replicaCount());
         if (quota == null || quota.planNumber() != planNumber) return;
-        if (known && quota.isRestored()) {
+        if (existed && quota.isRestored()) {
             quota.chargeRestoredUse(saved);
         } else {
-            quota.restore(now, saved, known ? quota.usedUnits() : 0);
-            if (!known) quota.lastUsedAt(Math.min(now, takenAtMs));
+            quota.restore(now, saved, existed ? quota.usedUnits() : 0);
+            if (!existed) quota.lastUsedAt(Math.min(now, takenAtMs));
             refill(now, quota);
         }
         quota.noteRestoredUse(saved);
--- a/src/main/java/caperrudder/policy/quota/TokenBucket.java
+++ b/src/main/java/caperrudder/policy/quota/TokenBucket.java
@@ -1,8 +1,8 @@
 package caperrudder.policy.quota;
 
 /**
- * A level of units between a floor and a capacity. The floor may be negative: a level below zero is a debt that
- * refilling pays off first.
+ * A token bucket with a floor and a capacity, in units. The floor may be negative. A level below zero is a debt, which
+ * refills pay off first.
  *
  * <p>Not thread-safe.
  */
@@ -11,7 +11,7 @@
     private final double capacity;
     private double level;
 
-    /** @param capacity most units held; infinite where each refill names a capacity of its own */
+    /** @param capacity most units held; infinite if each refill passes its own limit */
     TokenBucket(double floor, double capacity, double level) {
         this.floor = floor;
         this.capacity = capacity;
@@ -22,37 +22,37 @@
         return level;
     }
 
-    /** Adds units up to the capacity; a level below the floor stays below it until it is paid off. */
+    /** Adds units up to the capacity. A level below the floor is not raised to the floor. */
     void refill(double units) {
         refill(units, capacity);
     }
 
-    /** As {@link #refill(double)}, up to the given capacity. */
-    void refill(double units, double upTo) {
-        level = Math.min(upTo, level + units);
+    /** Adds units up to the given level instead of the capacity. */
+    void refill(double units, double maxLevel) {
+        level = Math.min(maxLevel, level + units);
     }
 
-    /** Adds units, or takes them where negative, and brings the level between floor and capacity. */
+    /** Adds units, which may be negative, and limits the level to the range from floor to capacity. */
     void add(double units) {
         level = Math.max(floor, Math.min(capacity, level + units));
     }
 
-    /** Takes units, or gives them back where negative, and brings the level between floor and capacity. */
+    /** Takes units, or refunds them if negative, and limits the level to the range from floor to capacity. */
     void take(double units) {
         add(-units);
     }
 
-    /** Takes units for which the bucket was found to hold them. */
+    /** Takes units without limiting the level; the caller has checked that the bucket holds them. */
     void takeUnchecked(double units) {
         level -= units;
     }
 
-    /** Replaces the level by what is known better elsewhere. */
+    /** Replaces the level, without limiting it to the range from floor to capacity. */
     void setLevel(double newLevel) {
         level = newLevel;
     }
 
-    /** Replaces the level by a saved one, less the units that were used beside it. */
+    /** Replaces the level by a saved one, less the units used that the saved level does not include. */
     void restore(double savedLevel, double usedSince) {
         level = Math.max(floor, Math.min(capacity, savedLevel) - usedSince);
     }
--- a/src/test/java/caperrudder/policy/quota/CeilingBucketTest.java
+++ b/src/test/java/caperrudder/policy/quota/CeilingBucketTest.java
@@ -14,18 +14,18 @@
     private static final Plan UNCAPPED = new Plan("uncapped", 100, 100, 0, 1, 0, 1, 0, 0, 0);
 
     @Test
-    void atTheStartOfTheGatewayItIsEmpty() {
+    void bucketIsEmptyWhenTheGatewayStarts() {
         assertEquals(0, new CeilingBucket(CAPPED, HALF, 0).level());
     }
 
     @Test
-    void itBeginsWithWhatHasFilledSinceTheStartUpToItsShareOfTheBurst() {
+    void bucketHoldsUnitsSinceTheStartUpToItsShareOfTheBurst() {
         assertEquals(10, new CeilingBucket(CAPPED, HALF, 1000).level());
         assertEquals(20, new CeilingBucket(CAPPED, HALF, 60_000).level());
     }
 
     @Test
-    void unitsReservedButNotSentLeaveNoSpaceToRefill() {
+    void reservedUnitsTakeUpCapacityUntilTheyAreSent() {
         CeilingBucket bucket = new CeilingBucket(CAPPED, HALF, 60_000);
         bucket.reserve(15);
         bucket.refill(60);
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void ofARunningTotalOnlyWhatIsNewIsReceived() {
+    void onlyTheIncreaseOfARunningTotalIsReceived() {
         CeilingBucket bucket = new CeilingBucket(CAPPED, HALF, 0);
         bucket.receive(7, 4);
         assertEquals(3, bucket.level());
     }
 
     @Test
-    void unitsHandedOverAreGone() {
+    void unitsHandedOverAreNotAdmitted() {
         CeilingBucket bucket = new CeilingBucket(CAPPED, HALF, 1000);
         bucket.handOver(4);
         assertTrue(bucket.admits(6));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void withoutACeilingAnyUnitsAreAdmitted() {
+    void allUnitsAreAdmittedWithoutACeiling() {
         CeilingBucket bucket = new CeilingBucket(UNCAPPED, HALF, 0);
         assertFalse(bucket.isLimited());
         assertTrue(bucket.admits(1e9));
--- a/src/test/java/caperrudder/policy/quota/ConcurrencyQuotaTest.java
+++ b/src/test/java/caperrudder/policy/quota/ConcurrencyQuotaTest.java
@@ -7,7 +7,7 @@
 import caperrudder.api.Plan;
 import org.junit.jupiter.api.Test;
 
-/** A limit of two requests open at once, over a replica set of twenty gateways. */
+/** Checks a limit of two concurrent requests over a replica set of twenty gateways. */
 class ConcurrencyQuotaTest {
     private static final Plan TWO_OPEN = new Plan("open", 0, 0, 2, 1, 0, 1, 0, 0, 0);
     private static final int REPLICAS = 20;
@@ -16,7 +16,7 @@
     private final ConcurrencyQuota metered = new ConcurrencyQuota(TWO_OPEN, REPLICAS, true);
 
     @Test
-    void requestsOpenElsewhereCountTowardsTheLimit() {
+    void requestsOpenAtOtherGatewaysCountTowardsTheLimit() {
         ConcurrencyQuota quota = new ConcurrencyQuota(TWO_OPEN, REPLICAS, false);
         quota.opened(0, EXPECTED_MS);
         assertTrue(quota.fitsTotal());
@@ -27,36 +27,36 @@
     }
 
     @Test
-    void aShareThatIsLessThanOneRequestAdmitsOne() {
+    void shareOfLessThanOneRequestAdmitsOne() {
         assertTrue(metered.fitsShare(1.0 / REPLICAS));
         metered.opened(0, EXPECTED_MS);
         assertFalse(metered.fitsShare(1.0 / REPLICAS));
     }
 
     @Test
-    void whereTheMeterAloneTellsAdmissionsArePaced() {
+    void admissionsArePacedIfOnlyTheMeterReportsUse() {
         metered.opened(0, EXPECTED_MS);
-        double pauseMs = REPLICAS * EXPECTED_MS / 2 / 4; // a quarter of the set in turn keeps both in use
+        double pauseMs = REPLICAS * EXPECTED_MS / 2 / 4; // a quarter of the set uses the limit of two
         assertFalse(metered.isNextDue(pauseMs - 1));
         assertTrue(metered.isNextDue(pauseMs));
     }
 
     @Test
-    void wherePeersInformEachOtherAdmissionsAreNotPaced() {
+    void admissionsAreNotPacedIfPeersReportUse() {
         ConcurrencyQuota quota = new ConcurrencyQuota(TWO_OPEN, REPLICAS, false);
         quota.opened(0, EXPECTED_MS);
         assertTrue(quota.isNextDue(0));
     }
 
     @Test
-    void ofAMeteredPeakTheOwnRequestsAreTakenOff() {
+    void ownRequestsAreSubtractedFromAMeteredPeak() {
         metered.opened(0, EXPECTED_MS);
         metered.meteredPeak(0, 1.5);
         assertEquals(2, metered.openAtOthers());
     }
 
     @Test
-    void aMeteredPeakHoldsForAWhile() {
+    void meteredPeakIsValidForOneAndAHalfAdmissionIntervals() {
         metered.opened(0, EXPECTED_MS);
         metered.meteredPeak(0, 1.5);
         double validMs = 1.5 * REPLICAS * EXPECTED_MS / 2;
--- a/src/test/java/caperrudder/policy/quota/TokenBucketTest.java
+++ b/src/test/java/caperrudder/policy/quota/TokenBucketTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The level of a token bucket between its floor and its capacity. */
+/** Checks that the level of a token bucket is limited by its floor and its capacity. */
 class TokenBucketTest {
     private static final double FLOOR = -10;
     private static final double CAPACITY = 10;
@@ -12,19 +12,19 @@
     private final TokenBucket bucket = new TokenBucket(FLOOR, CAPACITY, 4);
 
     @Test
-    void refillingStopsAtTheCapacity() {
+    void refillStopsAtTheCapacity() {
         bucket.refill(7);
         assertEquals(CAPACITY, bucket.level());
     }
 
     @Test
-    void refillingStopsAtTheCapacityThatARefillNames() {
+    void refillStopsAtTheGivenLevel() {
         bucket.refill(7, 6);
         assertEquals(6, bucket.level());
     }
 
     @Test
-    void takingMoreThanItHoldsLeavesADebtDownToTheFloor() {
+    void takingMoreThanTheLevelLeavesADebtDownToTheFloor() {
         bucket.take(9);
         assertEquals(-5, bucket.level());
         bucket.take(9);
@@ -32,20 +32,20 @@
     }
 
     @Test
-    void givingBackMoreThanItTookFillsItAtMost() {
+    void refundStopsAtTheCapacity() {
         bucket.take(-30);
         assertEquals(CAPACITY, bucket.level());
     }
 
     @Test
-    void aLevelSetBelowTheFloorIsPaidOffByRefilling() {
+    void refillRaisesALevelBelowTheFloorByTheUnitsAdded() {
         bucket.setLevel(-20);
         bucket.refill(5);
         assertEquals(-15, bucket.level());
     }
 
     @Test
-    void restoringTakesOffWhatWasUsedBeside() {
+    void restoreSubtractsUsedUnitsWithinFloorAndCapacity() {
         bucket.restore(50, 3);
         assertEquals(CAPACITY - 3, bucket.level());
         bucket.restore(-9, 3);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void unitsTakenUncheckedMayPassTheFloor() {
+    void takeUncheckedIsNotLimitedByTheFloor() {
         bucket.takeUnchecked(15);
         assertEquals(-11, bucket.level());
     }
