--- a/src/main/java/caperrudder/policy/quota/DemandEstimate.java
+++ b/src/main/java/caperrudder/policy/quota/DemandEstimate.java
@@ -1,57 +1,61 @@
 package caperrudder.policy.quota;
 
 /**
- * A customer's demand in units per second, at this gateway and at the others of its replica set, as exponentially
- * fading averages.
+ * A customer's demand in units per second, at this gateway and at the other gateways of its replica set, as averages
+ * with exponential decay.
  *
  * <p>Not thread-safe.
  */
 public final class DemandEstimate {
-    private static final double AVERAGING_MS = 2000; // longer than the usual gap between a customer's requests
+    /** Time constant of the averages; longer than the usual interval between requests of one customer. */
+    private static final double TIME_CONSTANT_MS = 2000;
+
     private static final double MS_PER_SECOND = 1000;
 
-    private double own;
-    private double others;
+    private double ownPerSecond;
+    private double peersPerSecond;
 
     DemandEstimate() {}
 
-    /** What remains of an average, 0 to 1, after so much time in which nothing was added. */
+    /** Returns the factor, 0 to 1, by which an average decays over an interval in which nothing is added. */
     public static double fadeOver(double elapsedMs) {
-        return Math.exp(-elapsedMs / AVERAGING_MS);
+        return Math.exp(-elapsedMs / TIME_CONSTANT_MS);
     }
 
-    /** What units used or demanded at one time add to an average, in units per second. */
+    /** Returns what {@code units} that are used or requested at once add to an average, in units per second. */
     static double perSecond(double units) {
-        return units / AVERAGING_MS * MS_PER_SECOND;
+        return units / TIME_CONSTANT_MS * MS_PER_SECOND;
     }
 
+    /** Returns the demand at this gateway. */
     double own() {
-        return own;
+        return ownPerSecond;
     }
 
+    /** Returns the demand at the other gateways of the replica set. */
     double others() {
-        return others;
+        return peersPerSecond;
     }
 
     double total() {
-        return own + others;
+        return ownPerSecond + peersPerSecond;
     }
 
     void fade(double factor) {
-        own *= factor;
-        others *= factor;
+        ownPerSecond *= factor;
+        peersPerSecond *= factor;
     }
 
     void addOwn(double unitsPerSecond) {
-        own += unitsPerSecond;
+        ownPerSecond += unitsPerSecond;
     }
 
     void setOthers(double unitsPerSecond) {
-        others = unitsPerSecond;
+        peersPerSecond = unitsPerSecond;
     }
 
-    /** Replaces what one other gateway demanded before by what it demands now. */
+    /** Replaces the previous demand of one other gateway by its present demand. */
     void replaceOthers(double newUnitsPerSecond, double oldUnitsPerSecond) {
-        others = Math.max(0, others + newUnitsPerSecond - oldUnitsPerSecond);
+        peersPerSecond = Math.max(0, peersPerSecond + newUnitsPerSecond - oldUnitsPerSecond);
     }
 }
--- a/src/main/java/caperrudder/policy/quota/MeteredUse.java
+++ b/src/main/java/caperrudder/policy/quota/MeteredUse.java
@@ -4,18 +4,26 @@
 import caperrudder.api.QuotaSnapshot;
 
 /**
- * What the meter reported of a customer's use over all gateways, and what follows from it: this gateway's share, and
- * the level of the whole bucket. Rates are units per second.
+ * A customer's use over all gateways as the meter reports it, and what this gateway derives from it: its own share of
+ * the use, and an estimate of the level of the quota's token bucket. Rates are in units per second.
  *
  * <p>Not thread-safe.
  */
 final class MeteredUse {
-    private static final double FIGURE_KEPT_MS = 20_000; // an older figure is ignored
-    private static final double FIGURE_FRESH_MS = 1000; // what others use counts only while a figure is this fresh
-    private static final double FIGURE_LAG_MS = 1300; // a figure's age on arrival: half its period and the way
-    private static final double SPARE_MULTIPLE = 2; // times a request's units in the bucket, without a fresh figure
-    private static final double LARGEST_STEP = 0.05; // by which the share rises on a figure, and
-    private static final double LARGEST_STEP_OF_EVEN = 0.5; // as a multiple of the even share
+    /** Older figures are ignored. */
+    private static final double MAX_FIGURE_AGE_MS = 20_000;
+    /** Figures of this age or older do not limit admission by the use of other gateways. */
+    private static final double FIGURE_STALE_MS = 1000;
+    /** Mean age of a figure on arrival: half the interval it covers and the transit time. */
+    private static final double FIGURE_DELAY_MS = 1300;
+    /** Units that the bucket must hold for each unit of a request while there is no fresh figure. */
+    private static final double REQUIRED_LEVEL_PER_UNIT = 2;
+    /** Largest increase of the share by one figure. */
+    private static final double MAX_SHARE_STEP = 0.05;
+    /** Largest increase of the share by one figure, relative to the even share. */
+    private static final double MAX_STEP_TO_EVEN_SHARE_RATIO = 0.5;
+
+    private static final double MS_PER_SECOND = 1000;
 
     private final Plan plan;
     private final int replicaCount;
@@ -33,19 +41,19 @@
         this.bucket = new TokenBucket(0, plan.burstUnits(), plan.burstUnits());
     }
 
-    /** Age of the last figure; infinite where there is none. */
+    /** Returns the age of the last figure, infinite if there is none. */
     double ageMs(double now) {
         return now - reportedAt;
     }
 
-    /** Use by all gateways as a multiple of the quota, as last reported. */
+    /** Returns the last reported use by all gateways, as a multiple of the quota. */
     double useMultiple() {
         return useMultiple;
     }
 
-    /** This gateway's share of the customer's use, 0 to 1; the even one where no figure is left. */
+    /** Returns this gateway's share of the customer's use, 0 to 1; the even share if there is no recent figure. */
     double share(double now) {
-        return ageMs(now) < FIGURE_KEPT_MS ? share : evenShare();
+        return ageMs(now) < MAX_FIGURE_AGE_MS ? share : evenShare();
     }
 
     private double evenShare() {
@@ -56,10 +64,13 @@
         ownPerSecond *= factor;
     }
 
-    /** What was admitted beyond the quota took nothing from the bucket: others do not empty it below zero. */
+    /**
+     * Refills the bucket at the plan's rate, less the use of other gateways. The level does not fall below zero,
+     * because requests over the quota take no units from the bucket.
+     */
     void refill(double now, double seconds) {
-        double others = ageMs(now) < FIGURE_KEPT_MS ? othersPerSecond : 0;
-        bucket.add((plan.unitsPerSecond() - others) * seconds);
+        double peersPerSecond = ageMs(now) < MAX_FIGURE_AGE_MS ? othersPerSecond : 0;
+        bucket.add((plan.unitsPerSecond() - peersPerSecond) * seconds);
     }
 
     void charge(double units) {
@@ -68,19 +79,23 @@
     }
 
     /**
-     * Capacity left in the whole bucket. Among many gateways each meets a customer seldom, and its share of it is less
-     * than a request: if all waited for a fresh figure, all would reject one whose bucket is full. So what others use
-     * is held against it only while the last figure is fresh and over the rate.
+     * Returns whether the bucket has capacity for {@code units}. The use of other gateways since the last figure is
+     * subtracted only if that figure is fresh and over the rate. In a large replica set each gateway seldom sees a
+     * given customer, and its share is less than one request. If a fresh figure were required, all gateways would
+     * reject a customer whose bucket is full.
      */
     boolean admits(double now, double units) {
         double age = ageMs(now);
-        if (age < FIGURE_FRESH_MS && totalPerSecond > plan.unitsPerSecond()) {
-            return bucket.level() - othersPerSecond * (age + FIGURE_LAG_MS) / 1000 >= units;
+        if (age < FIGURE_STALE_MS && totalPerSecond > plan.unitsPerSecond()) {
+            return bucket.level() - othersPerSecond * (age + FIGURE_DELAY_MS) / MS_PER_SECOND >= units;
         }
-        return bucket.level() >= Math.min(plan.burstUnits(), SPARE_MULTIPLE * units);
+        return bucket.level() >= Math.min(plan.burstUnits(), REQUIRED_LEVEL_PER_UNIT * units);
     }
 
-    /** A figure on a plan whose limit is on requests open at once: it says nothing of shares. */
+    /**
+     * Records a figure for a plan with a concurrency limit and no rate. This gateway's share cannot be derived from it,
+     * so that the even share is used.
+     */
     void reportedPeak(double now, double multipleOfQuota) {
         useMultiple = multipleOfQuota;
         share = evenShare();
@@ -88,24 +103,30 @@
     }
 
     /**
-     * A figure on a plan with a rate. The share follows the use, and rises a step while there is more demand here than
-     * it covers and the quota is not used up.
+     * Records a figure for a plan with a rate. The share is set to this gateway's share of the use. While the use by
+     * all gateways is below the rate and the demand at this gateway exceeds its share of it, the share rises by a step
+     * instead.
      *
+     * @param multipleOfQuota use by all gateways as a multiple of the plan's rate
      * @param ownDemandPerSecond demand at this gateway
      */
     void reportedRate(double now, double multipleOfQuota, double ownDemandPerSecond) {
         useMultiple = multipleOfQuota;
         double total = multipleOfQuota * plan.unitsPerSecond();
-        double used = total > 0 ? Math.min(1, ownPerSecond / total) : evenShare();
-        boolean rises = total < plan.unitsPerSecond() && ownDemandPerSecond > used * plan.unitsPerSecond();
-        double step = Math.min(LARGEST_STEP, LARGEST_STEP_OF_EVEN / replicaCount);
-        share = rises ? Math.min(1, Math.max(used, share) + step) : used;
+        double ownShare = total > 0 ? Math.min(1, ownPerSecond / total) : evenShare();
+        boolean rises = total < plan.unitsPerSecond() && ownDemandPerSecond > ownShare * plan.unitsPerSecond();
+        double step = Math.min(MAX_SHARE_STEP, MAX_STEP_TO_EVEN_SHARE_RATIO / replicaCount);
+        share = rises ? Math.min(1, Math.max(ownShare, share) + step) : ownShare;
         reportedAt = now;
         totalPerSecond = total;
         othersPerSecond = Math.max(0, total - ownPerSecond);
     }
 
-    /** @param usedSince units used here that the snapshot does not count */
+    /**
+     * Restores the level, rates and share of a snapshot.
+     *
+     * @param usedSince units used by this gateway that the snapshot does not count
+     */
     void restore(double now, QuotaSnapshot saved, double usedSince) {
         bucket.restore(saved.meteredLevel(), usedSince);
         ownPerSecond += saved.usePerSecond();
@@ -124,7 +145,7 @@
         return ownPerSecond;
     }
 
-    /** As last reported, however long ago. */
+    /** Returns the share derived from the last figure, regardless of its age. */
     double lastShare() {
         return share;
     }
--- a/src/test/java/caperrudder/policy/quota/MeteredUseTest.java
+++ b/src/test/java/caperrudder/policy/quota/MeteredUseTest.java
@@ -7,57 +7,57 @@
 import caperrudder.api.Plan;
 import org.junit.jupiter.api.Test;
 
-/** What follows from the meter's figures for a quota of 4 units per second, a burst of 12 and four gateways. */
+/** Checks share and admission by the meter's figures, with 4 units per second, a burst of 12 and four gateways. */
 class MeteredUseTest {
     private static final Plan SMALL = new Plan("small", 4, 12, 0, 1, 0, 1, 0, 0, 0);
     private static final int REPLICAS = 4;
-    private static final double EVEN = 0.25;
+    private static final double EVEN_SHARE = 0.25;
     private static final double NOW = 10_000;
 
     private final MeteredUse meter = new MeteredUse(SMALL, REPLICAS);
 
     @Test
-    void beforeAnyFigureTheShareIsEven() {
-        assertEquals(EVEN, meter.share(NOW));
+    void shareIsEvenBeforeTheFirstFigure() {
+        assertEquals(EVEN_SHARE, meter.share(NOW));
     }
 
     @Test
-    void theShareFollowsTheOwnPartOfTheUse() {
-        meter.charge(8); // 4 units per second on the mean of two seconds
+    void shareFollowsThisGatewaysShareOfTheUse() {
+        meter.charge(8); // 4 units per second with a time constant of 2 s
         meter.reportedRate(NOW, 2, 0);
         assertEquals(0.5, meter.share(NOW));
     }
 
     @Test
-    void whereDemandExceedsTheShareAndTheQuotaHasCapacityTheShareRisesAStep() {
+    void shareRisesAStepIfDemandExceedsItAndTheQuotaHasCapacity() {
         meter.charge(2);
         meter.reportedRate(NOW, 0.5, 4);
         assertEquals(0.55, meter.share(NOW), 1e-9);
     }
 
     @Test
-    void anOldFigureLeavesTheEvenShare() {
+    void shareIsEvenAfterTheFigureExpires() {
         meter.charge(8);
         meter.reportedRate(NOW, 2, 0);
-        assertEquals(EVEN, meter.share(NOW + 20_000));
+        assertEquals(EVEN_SHARE, meter.share(NOW + 20_000));
     }
 
     @Test
-    void whileAFreshFigureIsOverTheRateOthersUseIsHeldAgainstTheBucket() {
-        meter.reportedRate(NOW, 2, 0); // 8 units per second, all by others
+    void useByOtherGatewaysIsSubtractedIfAFreshFigureIsOverTheRate() {
+        meter.reportedRate(NOW, 2, 0); // 8 units per second, all used by other gateways
         assertTrue(meter.admits(NOW, 1)); // 12 - 8 * 1.3 s
         assertFalse(meter.admits(NOW, 2));
     }
 
     @Test
-    void withoutAFreshFigureTwiceTheUnitsMustBeInTheBucket() {
+    void bucketMustHoldTwiceTheUnitsWithoutAFreshFigure() {
         meter.charge(5);
         assertTrue(meter.admits(NOW, 3));
         assertFalse(meter.admits(NOW, 4));
     }
 
     @Test
-    void othersEmptyTheBucketBetweenFigures() {
+    void useByOtherGatewaysDrainsTheBucketBetweenFigures() {
         meter.reportedRate(NOW, 2, 0);
         meter.refill(NOW, 1);
         assertEquals(8, meter.level());
