--- a/src/main/java/caperrudder/policy/retry/RetrySafety.java
+++ b/src/main/java/caperrudder/policy/retry/RetrySafety.java
@@ -5,40 +5,50 @@
 import caperrudder.api.RequestClass;
 
 /**
- * Whether sending a request again does harm once an attempt of it may have run (rule 2). It never does where the class
- * is idempotent. With an idempotency key it does none where the repeat arrives within the hosts' deduplication window,
- * at a host of the same deduplication scope. Stateless but for the connect timeout.
+ * Decides whether a request can safely be sent again after an attempt of it may have run (rule 2). Requests of an
+ * idempotent class can always be sent again. A request with an idempotency key can be sent again if the new attempt
+ * arrives within the hosts' deduplication window, at a host of the same deduplication scope.
+ *
+ * <p>Immutable.
  */
 public final class RetrySafety {
-    private static final double WINDOW_SHARE = 0.9; // of a key's window: the rest covers the way to the host
+    /** Usable share of the deduplication window; the rest allows for the transit time to the host. */
+    private static final double USABLE_WINDOW_SHARE = 0.9;
 
     private final double connectTimeoutMs;
 
-    /** {@code connectTimeoutMs}: how much later, on a new connection, an attempt arrives at its host at most. */
+    /** @param connectTimeoutMs longest time that opening a connection can delay an attempt */
     public RetrySafety(double connectTimeoutMs) {
         this.connectTimeoutMs = connectTimeoutMs;
     }
 
     /**
-     * Whether an attempt sent now does no harm beside one that may have run, at some host of its deduplication scope.
+     * Returns whether a new attempt can safely be sent now, although an earlier one may have run at a host of the same
+     * deduplication scope.
      *
-     * @param firstSentAt when the first attempt that may have run was sent, on the same clock as {@code now}
+     * @param firstSentAt time at which the first attempt that may have run was sent, on the same clock as {@code now}
      */
     public boolean isRepeatable(double now, RequestClass spec, double firstSentAt) {
         double arrivesBy = now + connectTimeoutMs;
         return spec.idempotency() == Idempotency.IDEMPOTENT
                 || (spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && arrivesBy < firstSentAt + WINDOW_SHARE * spec.deduplicationWindowMs());
+                        && arrivesBy < firstSentAt + USABLE_WINDOW_SHARE * spec.deduplicationWindowMs());
     }
 
-    /** Whether a client may repeat a request that may have run: its retry can reach any host. */
+    /**
+     * Returns whether a client can safely repeat a request that may have run. Its retry can reach any host, so that an
+     * idempotency key must be known to all of them.
+     */
     public static boolean isRepeatableByClient(RequestClass spec) {
         return spec.idempotency() == Idempotency.IDEMPOTENT
                 || (spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && spec.deduplicationScope() == DeduplicationScope.ALL);
     }
 
-    /** Whether hosts may see a second copy of a request while the first is out, so that one may be given up. */
+    /**
+     * Returns whether a second attempt may be sent while the first may still run. Only then can a slow attempt be
+     * cancelled and replaced.
+     */
     public static boolean mayRunTwice(RequestClass spec) {
         return spec.idempotency() != Idempotency.NOT_IDEMPOTENT;
     }
--- a/src/main/java/caperrudder/policy/retry/package-info.java
+++ b/src/main/java/caperrudder/policy/retry/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Retries: how many this gateway may make ({@link caperrudder.policy.retry.RetryBudget}), and whether repeating a
- * request does harm ({@link caperrudder.policy.retry.RetrySafety}, rule 2 of the simulator's pages: what must not run
- * twice is never sent twice).
+ * Retries: the limit on their number ({@link caperrudder.policy.retry.RetryBudget}) and the check that a request can
+ * safely be sent again ({@link caperrudder.policy.retry.RetrySafety}; by rule 2 of the simulator's pages, a request
+ * that must not run twice is never sent twice).
  *
- * <p>Depends on {@code caperrudder.api} alone. No class reads a clock. All are confined to the thread that delivers the
- * policy's events.
+ * <p>Depends on {@code caperrudder.api} alone. No class reads a clock.
+ *
+ * <p>Not thread-safe. All objects of a gateway are used by its event loop only.
  */
 package caperrudder.policy.retry;
--- a/src/test/java/caperrudder/policy/retry/RetryBudgetTest.java
+++ b/src/test/java/caperrudder/policy/retry/RetryBudgetTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Retries as a share of first attempts. */
+/** Checks that retries are limited to a share of first attempts. */
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
@@ -20,24 +20,24 @@
     }
 
     @Test
-    void halfOfTheLargestBudgetIsThereFromTheStart() {
+    void budgetStartsWithHalfOfItsMaximum() {
         assertEquals(10, spendAll());
     }
 
     @Test
-    void fiveFirstAttemptsEarnARetry() {
+    void fiveFirstAttemptsEarnOneRetry() {
         spendAll();
         for (int i = 0; i < 4; i++) {
             budget.earn();
         }
         assertFalse(budget.hasToken());
         budget.earn();
-        budget.earn(); // sums of fifths are not exact
+        budget.earn(); // one more, because the sum of five times 0.2 may be rounded to less than 1
         assertTrue(budget.hasToken());
     }
 
     @Test
-    void savedRetriesAreBounded() {
+    void savedRetriesAreLimitedToTheMaximum() {
         for (int i = 0; i < 1000; i++) {
             budget.earn();
         }
--- a/src/test/java/caperrudder/policy/retry/RetrySafetyTest.java
+++ b/src/test/java/caperrudder/policy/retry/RetrySafetyTest.java
@@ -9,7 +9,7 @@
 import caperrudder.api.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** Rule 2: what must not run twice is never sent twice. */
+/** Checks rule 2: a request that must not run twice is never sent twice. */
 class RetrySafetyTest {
     private static final double CONNECT_TIMEOUT_MS = 250;
     private static final double WINDOW_MS = 1000;
@@ -36,13 +36,13 @@
     }
 
     @Test
-    void requestWithIdempotencyKeyIsRepeatableWhereItArrivesWithinNineTenthsOfTheWindow() {
+    void requestWithIdempotencyKeyIsRepeatableIfItArrivesWithinNineTenthsOfTheWindow() {
         assertTrue(isRepeatable(Idempotency.IDEMPOTENCY_KEY, 649));
         assertFalse(isRepeatable(Idempotency.IDEMPOTENCY_KEY, 650));
     }
 
     @Test
-    void clientMayRepeatWhereAnyHostDropsTheRepeat() {
+    void clientMayRepeatIfAllHostsDropDuplicates() {
         for (DeduplicationScope scope : DeduplicationScope.values()) {
             assertTrue(RetrySafety.isRepeatableByClient(spec(Idempotency.IDEMPOTENT, scope)));
             assertFalse(RetrySafety.isRepeatableByClient(spec(Idempotency.NOT_IDEMPOTENT, scope)));
