--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -104,7 +104,8 @@
     }
 
     private boolean hasCapacity(double now, CustomerQuota quota, double units, boolean canAskOwner) {
-        if (!canAskOwner) return quota.localHolds(units) || (usesMeter && quota.meter().admits(now, units));
+        if (!canAskOwner)
+            return quota.localHolds(units) || (usesMeter && quota.meter().admits(now, units));
         // The owner in charge keeps the shared bucket, which was found to hold the units.
         if (owners.decidesLocally(now, quota)) return true;
         if (!isReplyFresh(now, quota)) return false;
--- a/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
@@ -85,10 +85,8 @@
         double probability =
                 figureWeight * probabilityAtUse(useMultiple) + (1 - figureWeight) * unknownProbability(now, units);
         double netExcessCost = plan.overQuotaCost() - plan.overQuotaValue();
-        double expectedValue = (1 - probability) * valueShare
-                - probability * netExcessCost
-                - delayCostShare
-                - REJECTED_VALUE_SHARE;
+        double expectedValue =
+                (1 - probability) * valueShare - probability * netExcessCost - delayCostShare - REJECTED_VALUE_SHARE;
         credit += Math.max(
                 MIN_ADMITTED_SHARE, Math.min(1, (expectedValue + BREAK_EVEN_MARGIN) / (2 * BREAK_EVEN_MARGIN)));
         if (credit < 1) return false;
