--- a/src/main/java/caperrudder/policy/gossip/OwnerReply.java
+++ b/src/main/java/caperrudder/policy/gossip/OwnerReply.java
@@ -3,16 +3,16 @@
 import java.util.OptionalDouble;
 
 /**
- * From an owner of a customer's quota to a gateway of its replica set.
+ * A reply from an owner of a customer's quota to a gateway of the customer's replica set.
  *
- * @param bookedUnits of the receiver's running total, those the owner has booked, with what it granted
- * @param grantedUnits of what the receiver wanted
- * @param othersDemandPerSecond units per second demanded at all other gateways
- * @param othersOpenRequests open at all other gateways
- * @param fullness of the shared bucket, -1 to 1
- * @param uncertain whether the owner is new to its incarnation and does not know what was used before
- * @param ceilingUnitsGiven to the receiver in the present incarnations, as a running total; empty where the plan has
- *     no ceiling
+ * @param bookedUnits the receiver's running total of used units as booked by the owner, including the granted units
+ * @param grantedUnits units granted in response to the receiver's last report
+ * @param othersDemandPerSecond units per second demanded at all gateways except the receiver
+ * @param othersOpenRequests number of requests open at all gateways except the receiver
+ * @param fullness fill ratio of the shared bucket, -1 to 1
+ * @param uncertain whether the owner started recently and does not know which units were used before
+ * @param ceilingUnitsGiven running total of the ceiling units given to the receiver, counted from the later start of
+ *     the two gateways; empty if the plan has no ceiling
  */
 public record OwnerReply(
         long customer,
--- a/src/main/java/caperrudder/policy/gossip/QuotaEntry.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaEntry.java
@@ -1,10 +1,10 @@
 package caperrudder.policy.gossip;
 
-/** What a {@link QuotaMessage} says of one customer. */
+/** An entry of a {@link QuotaMessage}, about one customer's quota. */
 public sealed interface QuotaEntry permits ReplicaReport, OwnerReply {
-    /** The customer's number, of at most 40 bits. */
+    /** Returns the customer's number, at most 40 bits. */
     long customer();
 
-    /** Index of the customer's plan in the settings, 0 to 255. */
+    /** Returns the index of the customer's plan in the settings, 0 to 255. */
     int planNumber();
 }
--- a/src/main/java/caperrudder/policy/gossip/QuotaMessage.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaMessage.java
@@ -5,10 +5,11 @@
 /**
  * A message from one gateway to another.
  *
- * @param senderIncarnation of the sender, by the time of its start
- * @param receiverIncarnation of the receiver, as the sender knows it; 0 before any
- * @param serial the sender's own count of messages to the receiver, modulo 65,536
- * @param acknowledgedSerial of the last message that the sender had from the receiver
+ * @param senderIncarnation the low 32 bits of the sender's start time in milliseconds
+ * @param receiverIncarnation the receiver's incarnation as known to the sender; 0 if the sender has no message from it
+ * @param serial the sender's count of messages to the receiver; 16 bits of it are encoded
+ * @param acknowledgedSerial the serial of the last message that the sender accepted from the receiver
+ * @param entries at most 255 entries
  */
 public record QuotaMessage(
         int senderIncarnation, int receiverIncarnation, int serial, int acknowledgedSerial, List<QuotaEntry> entries) {}
--- a/src/main/java/caperrudder/policy/gossip/QuotaMessageCodec.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaMessageCodec.java
@@ -9,45 +9,46 @@
 import java.util.zip.CRC32;
 
 /**
- * The bytes of a {@link QuotaMessage}, big-endian: a header of version, checksum, both incarnations, both serials and
- * the count of entries; then the entries. Amounts are fixed point, held within what their field can say; running
- * totals wrap around. Gateways of other versions read these bytes: they stay.
+ * Encodes and decodes {@link QuotaMessage}s. The header consists of version, checksum, both incarnations, both serials
+ * and the number of entries; the entries follow. Numbers are big-endian. Amounts are fixed-point numbers, clamped to
+ * the range of their field. Running totals wrap around instead. The format must not change within a version, since
+ * gateways of different releases exchange messages.
  *
  * <p>Stateless.
  */
 public final class QuotaMessageCodec {
     static final int HEADER_BYTES = 16;
-    /** No entry is longer; messages are planned with it. */
+    /** An upper bound of an entry's encoded size. */
     static final int MAX_ENTRY_BYTES = 27;
-    /** Fixed point of units and of units per second. */
+    /** Steps of the fixed-point encoding per unit, and per unit per second. */
     static final double UNIT_SCALE = 16;
 
     private static final byte VERSION = 3;
-    private static final int CHECKSUM_AT = 1;
-    private static final int CHECKED_FROM = 3;
-    private static final double FULLNESS_SCALE = 30_000;
-    private static final int MAX_SHORT = 0xffff;
-    private static final int MAX_BYTE = 0xff;
-    private static final long MAX_INT = 0xffffffffL;
+    private static final int CHECKSUM_OFFSET = 1;
+    private static final int AFTER_CHECKSUM_OFFSET = 3;
+    private static final double FILL_RATIO_SCALE = 30_000;
+    private static final int MAX_UNSIGNED_SHORT = 0xffff;
+    private static final int BYTE_MASK = 0xff;
+    private static final long INT_MASK = 0xffffffffL;
 
     private static final int FLAG_OWNER_REPLY = 1;
     private static final int FLAG_WANTS_REPLY = 2;
     private static final int FLAG_CEILING = 4;
     private static final int FLAG_UNCERTAIN = 8;
-    private static final int FLAG_FULLNESS = 16;
+    private static final int FLAG_FILL_RATIO = 16;
 
-    private static final int COMMON_BYTES = 17;
+    private static final int COMMON_ENTRY_BYTES = 17;
     private static final int REPLICA_SET_BYTES = 4;
-    private static final int FULLNESS_BYTES = 2;
+    private static final int FILL_RATIO_BYTES = 2;
     private static final int CEILING_BYTES = 4;
 
     private QuotaMessageCodec() {}
 
-    /** The bytes of a message of at most 255 entries. */
+    /** Encodes a message, which must have at most 255 entries. */
     public static byte[] encode(QuotaMessage message) {
         int size = HEADER_BYTES;
         for (QuotaEntry entry : message.entries()) {
-            size += bytesOf(entry);
+            size += encodedBytes(entry);
         }
         ByteBuffer buffer = ByteBuffer.allocate(size);
         buffer.put(VERSION).putShort((short) 0);
@@ -55,22 +56,24 @@
         buffer.putShort((short) message.serial()).putShort((short) message.acknowledgedSerial());
         buffer.put((byte) message.entries().size());
         for (QuotaEntry entry : message.entries()) {
-            write(buffer, entry);
+            writeEntry(buffer, entry);
         }
         byte[] data = buffer.array();
-        buffer.putShort(CHECKSUM_AT, checksum(data));
+        buffer.putShort(CHECKSUM_OFFSET, checksum(data));
         return data;
     }
 
-    private static int bytesOf(QuotaEntry entry) {
+    private static int encodedBytes(QuotaEntry entry) {
         if (entry instanceof OwnerReply reply) {
-            return COMMON_BYTES + FULLNESS_BYTES + (reply.ceilingUnitsGiven().isPresent() ? CEILING_BYTES : 0);
+            return COMMON_ENTRY_BYTES
+                    + FILL_RATIO_BYTES
+                    + (reply.ceilingUnitsGiven().isPresent() ? CEILING_BYTES : 0);
         }
         ReplicaReport report = (ReplicaReport) entry;
-        return COMMON_BYTES + REPLICA_SET_BYTES + (report.fullness().isPresent() ? FULLNESS_BYTES : 0);
+        return COMMON_ENTRY_BYTES + REPLICA_SET_BYTES + (report.fullness().isPresent() ? FILL_RATIO_BYTES : 0);
     }
 
-    private static void write(ByteBuffer buffer, QuotaEntry entry) {
+    private static void writeEntry(ByteBuffer buffer, QuotaEntry entry) {
         if (entry instanceof OwnerReply reply) writeReply(buffer, reply);
         else writeReport(buffer, (ReplicaReport) entry);
     }
@@ -78,30 +81,30 @@
     private static void writeReport(ByteBuffer buffer, ReplicaReport report) {
         int flags = (report.wantsReply() ? FLAG_WANTS_REPLY : 0)
                 | (report.wantsCeilingUnits() ? FLAG_CEILING : 0)
-                | (report.fullness().isPresent() ? FLAG_FULLNESS : 0);
-        writeIdentity(buffer, flags, report);
+                | (report.fullness().isPresent() ? FLAG_FILL_RATIO : 0);
+        writeFlagsAndCustomer(buffer, flags, report);
         buffer.putShort((short) report.firstReplica()).putShort((short) report.replicaCount());
         writeTotal(buffer, report.usedUnits());
         writeUnits(buffer, report.wantedUnits());
         writeUnits(buffer, report.demandPerSecond());
-        buffer.putShort(unsignedShort(report.openRequests()));
+        buffer.putShort(clampToUnsignedShort(report.openRequests()));
         if (report.fullness().isPresent())
-            writeFullness(buffer, report.fullness().getAsDouble());
+            writeFillRatio(buffer, report.fullness().getAsDouble());
     }
 
     private static void writeReply(ByteBuffer buffer, OwnerReply reply) {
-        boolean ceiling = reply.ceilingUnitsGiven().isPresent();
-        int flags = FLAG_OWNER_REPLY | (ceiling ? FLAG_CEILING : 0) | (reply.uncertain() ? FLAG_UNCERTAIN : 0);
-        writeIdentity(buffer, flags, reply);
+        boolean hasCeiling = reply.ceilingUnitsGiven().isPresent();
+        int flags = FLAG_OWNER_REPLY | (hasCeiling ? FLAG_CEILING : 0) | (reply.uncertain() ? FLAG_UNCERTAIN : 0);
+        writeFlagsAndCustomer(buffer, flags, reply);
         writeTotal(buffer, reply.bookedUnits());
         writeUnits(buffer, reply.grantedUnits());
         writeUnits(buffer, reply.othersDemandPerSecond());
-        buffer.putShort(unsignedShort(reply.othersOpenRequests()));
-        writeFullness(buffer, reply.fullness());
-        if (ceiling) writeTotal(buffer, reply.ceilingUnitsGiven().getAsDouble());
+        buffer.putShort(clampToUnsignedShort(reply.othersOpenRequests()));
+        writeFillRatio(buffer, reply.fullness());
+        if (hasCeiling) writeTotal(buffer, reply.ceilingUnitsGiven().getAsDouble());
     }
 
-    private static void writeIdentity(ByteBuffer buffer, int flags, QuotaEntry entry) {
+    private static void writeFlagsAndCustomer(ByteBuffer buffer, int flags, QuotaEntry entry) {
         buffer.put((byte) flags).put((byte) entry.planNumber());
         buffer.put((byte) (entry.customer() >>> Integer.SIZE)).putInt((int) entry.customer());
     }
@@ -111,26 +114,26 @@
     }
 
     private static void writeUnits(ByteBuffer buffer, double units) {
-        buffer.putShort(unsignedShort(units * UNIT_SCALE));
+        buffer.putShort(clampToUnsignedShort(units * UNIT_SCALE));
     }
 
-    private static void writeFullness(ByteBuffer buffer, double fullness) {
-        buffer.putShort((short) Math.round(Math.max(-1, Math.min(1, fullness)) * FULLNESS_SCALE));
+    private static void writeFillRatio(ByteBuffer buffer, double fillRatio) {
+        buffer.putShort((short) Math.round(Math.max(-1, Math.min(1, fillRatio)) * FILL_RATIO_SCALE));
     }
 
-    private static short unsignedShort(double value) {
-        return (short) Math.max(0, Math.min(MAX_SHORT, Math.round(value)));
+    private static short clampToUnsignedShort(double value) {
+        return (short) Math.max(0, Math.min(MAX_UNSIGNED_SHORT, Math.round(value)));
     }
 
-    /** The message, or empty where the bytes are short, damaged or of another version. */
+    /** Returns the decoded message, or empty if the version, the checksum or the length is wrong. */
     public static Optional<QuotaMessage> decode(byte[] data) {
         if (data.length < HEADER_BYTES || data[0] != VERSION) return Optional.empty();
-        ByteBuffer buffer = ByteBuffer.wrap(data, CHECKSUM_AT, data.length - CHECKSUM_AT);
+        ByteBuffer buffer = ByteBuffer.wrap(data, CHECKSUM_OFFSET, data.length - CHECKSUM_OFFSET);
         if (buffer.getShort() != checksum(data)) return Optional.empty();
         try {
             QuotaMessage message = readMessage(buffer);
             return buffer.hasRemaining() ? Optional.empty() : Optional.of(message);
-        } catch (BufferUnderflowException shorterThanItsCount) {
+        } catch (BufferUnderflowException truncated) {
             return Optional.empty();
         }
     }
@@ -140,7 +143,7 @@
         int receiverIncarnation = buffer.getInt();
         int serial = readShort(buffer);
         int acknowledgedSerial = readShort(buffer);
-        int count = buffer.get() & MAX_BYTE;
+        int count = buffer.get() & BYTE_MASK;
         List<QuotaEntry> entries = new ArrayList<>(count);
         while (entries.size() < count) {
             entries.add(readEntry(buffer));
@@ -150,8 +153,8 @@
 
     private static QuotaEntry readEntry(ByteBuffer buffer) {
         int flags = buffer.get();
-        int planNumber = buffer.get() & MAX_BYTE;
-        long customer = (long) (buffer.get() & MAX_BYTE) << Integer.SIZE | (buffer.getInt() & MAX_INT);
+        int planNumber = buffer.get() & BYTE_MASK;
+        long customer = (long) (buffer.get() & BYTE_MASK) << Integer.SIZE | (buffer.getInt() & INT_MASK);
         return (flags & FLAG_OWNER_REPLY) != 0
                 ? readReply(buffer, flags, customer, planNumber)
                 : readReport(buffer, flags, customer, planNumber);
@@ -167,7 +170,7 @@
                 readUnits(buffer),
                 readUnits(buffer),
                 readShort(buffer),
-                (flags & FLAG_FULLNESS) != 0 ? OptionalDouble.of(readFullness(buffer)) : OptionalDouble.empty(),
+                (flags & FLAG_FILL_RATIO) != 0 ? OptionalDouble.of(readFillRatio(buffer)) : OptionalDouble.empty(),
                 (flags & FLAG_WANTS_REPLY) != 0,
                 (flags & FLAG_CEILING) != 0);
     }
@@ -180,13 +183,13 @@
                 readUnits(buffer),
                 readUnits(buffer),
                 readShort(buffer),
-                readFullness(buffer),
+                readFillRatio(buffer),
                 (flags & FLAG_UNCERTAIN) != 0,
                 (flags & FLAG_CEILING) != 0 ? OptionalDouble.of(readTotal(buffer)) : OptionalDouble.empty());
     }
 
     private static int readShort(ByteBuffer buffer) {
-        return buffer.getShort() & MAX_SHORT;
+        return buffer.getShort() & MAX_UNSIGNED_SHORT;
     }
 
     private static double readTotal(ByteBuffer buffer) {
@@ -197,14 +200,14 @@
         return readShort(buffer) / UNIT_SCALE;
     }
 
-    private static double readFullness(ByteBuffer buffer) {
-        return buffer.getShort() / FULLNESS_SCALE;
+    private static double readFillRatio(ByteBuffer buffer) {
+        return buffer.getShort() / FILL_RATIO_SCALE;
     }
 
     private static short checksum(byte[] data) {
         CRC32 crc = new CRC32();
-        crc.update(data, 0, CHECKSUM_AT);
-        crc.update(data, CHECKED_FROM, data.length - CHECKED_FROM);
+        crc.update(data, 0, CHECKSUM_OFFSET);
+        crc.update(data, AFTER_CHECKSUM_OFFSET, data.length - AFTER_CHECKSUM_OFFSET);
         return (short) crc.getValue();
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/RendezvousHash.java
+++ b/src/main/java/caperrudder/policy/gossip/RendezvousHash.java
@@ -3,7 +3,10 @@
 import java.util.Comparator;
 import java.util.stream.IntStream;
 
-/** Rendezvous hashing: each gateway finds by itself which gateways of a replica set stand first for a key. */
+/**
+ * Rendezvous hashing: ranks the gateways of a replica set for a key. All gateways compute the same ranking without
+ * communicating.
+ */
 public final class RendezvousHash {
     private static final long KEY_FACTOR = 31;
     private static final long FIRST_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -12,11 +15,13 @@
     private RendezvousHash() {}
 
     /**
-     * Gateways of a replica set in the order of their hash with a key.
+     * Returns the numbers of a replica set's gateways in the order of their hashes with the key.
      *
-     * @param firstReplica number of the first gateway of the set; the others follow, counted round
-     * @param gatewayCount of the deployment
-     * @param limit most gateways named
+     * @param firstReplica number of the first gateway of the set; the set continues with the following numbers and
+     *     wraps around to 0 after the last gateway of the deployment
+     * @param replicaCount number of gateways in the set
+     * @param gatewayCount number of gateways in the deployment
+     * @param limit maximum number of gateways returned
      */
     public static int[] rank(long key, int firstReplica, int replicaCount, int gatewayCount, int limit) {
         return IntStream.range(firstReplica, firstReplica + replicaCount)
--- a/src/main/java/caperrudder/policy/gossip/ReplicaReport.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicaReport.java
@@ -3,17 +3,17 @@
 import java.util.OptionalDouble;
 
 /**
- * From a gateway of a customer's replica set to an owner of its quota.
+ * A report from a gateway of a customer's replica set to an owner of the customer's quota.
  *
  * @param firstReplica number of the first gateway of the replica set
- * @param replicaCount gateways in the set
- * @param usedUnits used by the sender so far, as a running total
- * @param wantedUnits that requests held at the sender need beside
+ * @param replicaCount number of gateways in the replica set
+ * @param usedUnits running total of the units used at the sender
+ * @param wantedUnits additional units needed by the requests that await a decision at the sender
  * @param demandPerSecond units per second demanded at the sender
- * @param openRequests open at the sender
- * @param fullness of the shared bucket as the sender sees it, -1 to 1, where its view is fresh
- * @param wantsReply whether the owner is to answer
- * @param wantsCeilingUnits whether the wanted units are to come from the ceiling, too
+ * @param openRequests number of requests open at the sender
+ * @param fullness fill ratio of the shared bucket as known to the sender, -1 to 1; empty if that is stale
+ * @param wantsReply whether the owner must reply
+ * @param wantsCeilingUnits whether the wanted units are also needed from the ceiling bucket
  */
 public record ReplicaReport(
         long customer,
--- a/src/main/java/caperrudder/policy/gossip/SerialArithmetic.java
+++ b/src/main/java/caperrudder/policy/gossip/SerialArithmetic.java
@@ -1,22 +1,28 @@
 package caperrudder.policy.gossip;
 
-/** Comparison of counts and running totals whose fields on the wire wrap around (as in RFC 1982). */
+/**
+ * Compares serials, incarnations and running totals, whose fields on the wire wrap around (serial number arithmetic,
+ * RFC 1982).
+ */
 final class SerialArithmetic {
     private SerialArithmetic() {}
 
-    /** Whether message number {@code serial} comes after {@code other}; both of 16 bits. */
+    /** Returns whether {@code serial} is later than {@code other}. Both are 16-bit message serials. */
     static boolean isAfter(int serial, int other) {
         return (short) (serial - other) > 0;
     }
 
-    /** Whether an incarnation began before another; both of 32 bits of a clock in milliseconds. */
+    /** Returns whether {@code incarnation} started before {@code other}. Both are 32-bit times in milliseconds. */
     static boolean isOlder(int incarnation, int other) {
         return incarnation - other < 0;
     }
 
-    /** Units by which one running total is ahead of another; both as their 32 bits of fixed point hold them. */
-    static double unitsAhead(double later, double earlier) {
+    /**
+     * Returns the units by which {@code total} exceeds {@code other}, negative if it is less. Both running totals are
+     * compared as 32-bit fixed-point numbers, so the result is also correct after one of them wrapped around.
+     */
+    static double unitsAhead(double total, double other) {
         double scale = QuotaMessageCodec.UNIT_SCALE;
-        return ((int) Math.round(later * scale) - (int) Math.round(earlier * scale)) / scale;
+        return ((int) Math.round(total * scale) - (int) Math.round(other * scale)) / scale;
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/package-info.java
+++ b/src/main/java/caperrudder/policy/gossip/package-info.java
@@ -1,14 +1,15 @@
 /**
- * What gateways inform each other of customers' quotas: typed messages and their codec, who owns a quota, what is
- * known of each peer, requests held for an owner's reply, and the outbox.
+ * Exchange of quota state between gateways: the messages and their codec, the ownership of quotas, the state of each
+ * peer, requests awaiting an owner's decision, and the outbox.
  *
- * <p>Pages: DESIGN-caperrudder ("Customer parts, ours"), WIRE-caperrudder (NOTIFY). What is sent
- * may be lost, repeated or overtaken on the way: running totals and serials make each message harmless to repeat.
+ * <p>Pages: DESIGN-caperrudder ("Customer parts, ours"), WIRE-caperrudder (NOTIFY). Messages may be lost, duplicated or
+ * reordered. They carry serials and running totals, so that a repeated message has no effect and a later message makes
+ * up for a lost one.
  *
- * <p>May depend on {@code caperrudder.policy.quota} and what lies below it. Messages leave through
- * {@code PolicyActions}; nothing here reads a clock or a socket: each method is passed the present time in
+ * <p>May depend on {@code caperrudder.policy.quota} and the packages that it depends on. Messages are sent through
+ * {@code PolicyActions}. Nothing here reads a clock or a socket: the parameter {@code now} is the current time in
  * milliseconds.
  *
- * <p>Not thread-safe: all objects of one gateway are used by its event loop alone.
+ * <p>Not thread-safe: all objects of a gateway are confined to its event loop.
  */
 package caperrudder.policy.gossip;
