--- a/src/main/java/caperrudder/policy/gossip/OwnerRequest.java
+++ b/src/main/java/caperrudder/policy/gossip/OwnerRequest.java
@@ -3,7 +3,7 @@
 import caperrudder.policy.quota.CustomerQuota;
 
 /**
- * A request held for the reply of an owner of its customer's quota.
+ * A request that awaits the decision of an owner of its customer's quota.
  *
  * <p>Not thread-safe.
  */
@@ -12,10 +12,10 @@
     private final QuotaApplicant applicant;
     private int ownerRank;
     private int owner;
-    private int messageSerial; // of the message that asks
-    private double replyDueAt;
+    private int reportSerial; // of the message that asks the owner
+    private double replyDueAtMs;
 
-    /** @param applicant is notified of the decision */
+    /** @param applicant the request to decide, which is notified of the decision */
     public OwnerRequest(CustomerQuota quota, QuotaApplicant applicant) {
         this.quota = quota;
         this.applicant = applicant;
@@ -29,22 +29,25 @@
         return applicant;
     }
 
+    /** Returns the units of the quota that the request uses. */
     double units() {
         return applicant.units();
     }
 
-    /** An owner of this rank is asked; the next message to it will say so. */
-    void ask(PeerState peer, int rank, double replyDueTime) {
+    /** Assigns the request to an owner. The report that asks for it has the next serial at the earliest. */
+    void ask(PeerState peer, int rank, double replyDueAt) {
         ownerRank = rank;
         owner = peer.number();
-        messageSerial = peer.sentSerial() + 1; // the last message did not ask for it
-        replyDueAt = replyDueTime;
+        reportSerial = peer.sentSerial() + 1;
+        replyDueAtMs = replyDueAt;
     }
 
+    /** Returns the rank of the owner that was asked last. */
     int ownerRank() {
         return ownerRank;
     }
 
+    /** Returns the gateway number of the owner that was asked last. */
     int owner() {
         return owner;
     }
@@ -53,20 +56,23 @@
         return owner == peer.number();
     }
 
+    /** Records the serial of the message that asks the owner for the decision. */
     void askedBy(int serial) {
-        messageSerial = serial;
+        reportSerial = serial;
     }
 
-    /** Whether the message that asks was sent no later than this one. */
+    /** Returns whether the owner had read the message that asks it when it acknowledged the given serial. */
     boolean isAskedBy(int acknowledgedSerial) {
-        return !SerialArithmetic.isAfter(messageSerial, acknowledgedSerial);
+        return !SerialArithmetic.isAfter(reportSerial, acknowledgedSerial);
     }
 
+    /** Returns whether the time to reply has passed. */
     boolean isReplyMissing(double now) {
-        return now >= replyDueAt;
+        return now >= replyDueAtMs;
     }
 
+    /** Extends the time to reply. */
     void postponeReply(double ms) {
-        replyDueAt += ms;
+        replyDueAtMs += ms;
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/PeerState.java
+++ b/src/main/java/caperrudder/policy/gossip/PeerState.java
@@ -4,95 +4,103 @@
 import java.util.Set;
 
 /**
- * What is known of a peer gateway, and what waits to be sent to it.
+ * The state of a peer gateway: serials, incarnation, responsiveness, and the quotas to report or reply about.
  *
  * <p>Not thread-safe.
  */
 final class PeerState {
     private final int number;
-    private final Set<ReplicatedQuota> dueReports = new LinkedHashSet<>(); // to it as an owner
-    private final Set<ReplicatedQuota> dueReplies = new LinkedHashSet<>(); // to it by this gateway as an owner
+    private final Set<ReplicatedQuota> dueReports = new LinkedHashSet<>(); // the peer is an owner
+    private final Set<ReplicatedQuota> dueReplies = new LinkedHashSet<>(); // this gateway is an owner
     private boolean queued;
-    private boolean met;
+    private boolean hasSentMessage;
     private int incarnation;
     private int sentSerial;
     private int receivedSerial;
-    private double sentAt = Double.NEGATIVE_INFINITY;
-    private double silentUntil = Double.NEGATIVE_INFINITY;
+    private double lastSentAtMs = Double.NEGATIVE_INFINITY;
+    private double unresponsiveUntilMs = Double.NEGATIVE_INFINITY;
 
     PeerState(int number) {
         this.number = number;
     }
 
+    /** Returns the peer's gateway number. */
     int number() {
         return number;
     }
 
-    /** The peer's present incarnation, by the time of its start; 0 before its first message. */
+    /** Returns the incarnation of the peer's last accepted message; 0 before the first. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Number of the last message to it. */
+    /** Returns the serial of the last message sent to the peer. */
     int sentSerial() {
         return sentSerial;
     }
 
-    /** Number of the last message from it. */
+    /** Returns the serial of the last message accepted from the peer. */
     int receivedSerial() {
         return receivedSerial;
     }
 
+    /** Returns the time since the last message was sent to the peer; infinite if none was. */
     double sinceSentMs(double now) {
-        return now - sentAt;
+        return now - lastSentAtMs;
     }
 
-    /** Whether it missed a reply of late, and is passed over. */
+    /** Returns whether the peer recently failed to reply in time, so that it is not asked for decisions. */
     boolean isSilent(double now) {
-        return now < silentUntil;
+        return now < unresponsiveUntilMs;
     }
 
-    void silentUntil(double at) {
-        silentUntil = at;
+    /** Marks the peer as unresponsive until the given time, or until a message from it is accepted. */
+    void silentUntil(double untilMs) {
+        unresponsiveUntilMs = untilMs;
     }
 
-    /** Whether a message came in time and for the first time, as far as the one before it shows. */
+    /** Returns whether a message is later than the last one accepted from the peer, by incarnation and serial. */
     boolean isNews(QuotaMessage message) {
-        if (!met) return true;
+        if (!hasSentMessage) return true;
         return message.senderIncarnation() == incarnation
                 ? SerialArithmetic.isAfter(message.serial(), receivedSerial)
                 : !SerialArithmetic.isOlder(message.senderIncarnation(), incarnation);
     }
 
+    /** Records an accepted message: the peer's incarnation, its serial, and that the peer is responsive. */
     void received(QuotaMessage message) {
-        met = true;
+        hasSentMessage = true;
         incarnation = message.senderIncarnation();
         receivedSerial = message.serial();
-        silentUntil = Double.NEGATIVE_INFINITY;
+        unresponsiveUntilMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** Counts a message to it, before its entries are written. */
+    /** Assigns the next serial to a message to the peer. Must be called before the message's entries are created. */
     void nextSerial() {
         sentSerial++;
     }
 
+    /** Records the time at which a message was sent to the peer. */
     void sent(double now) {
-        sentAt = now;
+        lastSentAtMs = now;
     }
 
+    /** Returns the quotas to report to the peer, which owns them. May be modified. */
     Set<ReplicatedQuota> dueReports() {
         return dueReports;
     }
 
+    /** Returns the quotas to reply about to the peer, a replica. May be modified. */
     Set<ReplicatedQuota> dueReplies() {
         return dueReplies;
     }
 
+    /** Returns whether a report or a reply to the peer is due. */
     boolean hasDue() {
         return !dueReports.isEmpty() || !dueReplies.isEmpty();
     }
 
-    /** Whether it stands in the outbox's queue. */
+    /** Returns whether the peer is in the outbox's queue. */
     boolean isQueued() {
         return queued;
     }
--- a/src/main/java/caperrudder/policy/gossip/PeerTable.java
+++ b/src/main/java/caperrudder/policy/gossip/PeerTable.java
@@ -2,7 +2,7 @@
 
 import caperrudder.api.Settings;
 
-/** All gateways of the deployment by their number; the entry of this gateway itself stays unused. */
+/** The states of the deployment's gateways by number. The entry of this gateway itself is unused. */
 final class PeerTable {
     private final PeerState[] peers;
     private final int ownNumber;
@@ -19,16 +19,17 @@
         return peers[number];
     }
 
-    /** Gateways of the deployment, this one included. */
+    /** Returns the number of gateways in the deployment, including this one. */
     int size() {
         return peers.length;
     }
 
-    /** Number of this gateway. */
+    /** Returns this gateway's number. */
     int ownNumber() {
         return ownNumber;
     }
 
+    /** Returns whether {@code number} is the number of another gateway of the deployment. */
     boolean isOther(int number) {
         return number >= 0 && number < peers.length && number != ownNumber;
     }
--- a/src/main/java/caperrudder/policy/gossip/QuotaApplicant.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaApplicant.java
@@ -1,16 +1,16 @@
 package caperrudder.policy.gossip;
 
-/** A request that may be held for an owner's decision on its customer's quota. */
+/** A request that awaits an owner's decision on its customer's quota. */
 public interface QuotaApplicant {
-    /** Units of the quota that the request uses. */
+    /** Returns the units of the quota that the request uses. */
     double units();
 
-    /** Time in milliseconds by which it must be decided; moves when a request's last byte arrives. */
+    /** Returns the time in milliseconds by which the request must be decided. It changes when the last byte arrives. */
     double decisionDueAt();
 
-    /** Whether it was admitted or has ended meanwhile, so that no decision is awaited. */
+    /** Returns whether the request was already admitted or has ended, so that it needs no decision. */
     boolean isSettled();
 
-    /** The decision; called once at most. */
+    /** Handles the decision. Called at most once. */
     void decided(double now, boolean admitted);
 }
--- a/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
@@ -5,25 +5,26 @@
 import caperrudder.policy.quota.OwnerLocator;
 
 /**
- * Which gateway owns a customer's quota: the first of the ranked ones of its replica set that is not silent. An owner
- * new to its incarnation is uncertain and passes the quota on to the next.
+ * Determines which gateways own a customer's quota and which of them decides on it: the first one by rank that is
+ * responsive. A gateway that started recently leaves the decision to the next owner as long as it does not know which
+ * units were used before.
  *
  * <p>Not thread-safe.
  */
 public final class QuotaOwnership implements OwnerLocator {
-    /** What {@link #decidingOwner} says where no owner can be reached. */
+    /** Returned by {@link #decidingOwner} if no owner can be reached. */
     static final int NO_OWNER = -1;
 
-    private static final int OWNERS = 2; // gateways of a replica set that keep a quota: one may be down
+    private static final int OWNERS_PER_QUOTA = 2; // tolerates the failure of one owner
     private static final double MS_PER_SECOND = 1000;
 
     private final PeerTable peers;
-    private final double startedAt;
+    private final double startedAtMs;
 
-    /** @param now time of this gateway's start: its incarnation */
+    /** @param now time of this gateway's start, which identifies its incarnation */
     public QuotaOwnership(double now, Settings settings) {
         this.peers = new PeerTable(settings);
-        this.startedAt = now;
+        this.startedAtMs = now;
     }
 
     PeerTable peers() {
@@ -32,7 +33,7 @@
 
     @Override
     public int[] ownersOf(long customer, int firstReplica, int replicaCount) {
-        return RendezvousHash.rank(customer, firstReplica, replicaCount, peers.size(), OWNERS);
+        return RendezvousHash.rank(customer, firstReplica, replicaCount, peers.size(), OWNERS_PER_QUOTA);
     }
 
     @Override
@@ -40,16 +41,20 @@
         return decidingOwner(now, quota, 0) == peers.ownNumber();
     }
 
-    /** Whether this gateway is the owner of the first rank. */
+    /** Returns whether this gateway is the owner of rank 0. */
     boolean isFirstOwner(CustomerQuota quota) {
         return quota.owner(0) == peers.ownNumber();
     }
 
+    /** Returns whether this gateway is an owner of any rank. */
     boolean isOwner(CustomerQuota quota) {
         return quota.isOwner(peers.ownNumber());
     }
 
-    /** The gateway that decides on a customer, among its owners from a rank on, or {@link #NO_OWNER}. */
+    /**
+     * Returns the number of the gateway that decides on a quota: the first of its owners, from a rank on, that can
+     * decide. If none can, returns this gateway if it has rank 0, otherwise {@link #NO_OWNER}.
+     */
     int decidingOwner(double now, CustomerQuota quota, int fromRank) {
         for (int rank = fromRank; rank < quota.ownerCount(); rank++) {
             if (canDecide(now, quota, rank)) return quota.owner(rank);
@@ -57,16 +62,21 @@
         return isFirstOwner(quota) ? peers.ownNumber() : NO_OWNER;
     }
 
+    /** Other owners must be responsive. This gateway must know the earlier use, unless no owner is left to ask. */
     private boolean canDecide(double now, CustomerQuota quota, int rank) {
         int owner = quota.owner(rank);
         if (owner != peers.ownNumber()) return !peers.get(owner).isSilent(now);
-        boolean last = rank == quota.ownerCount() - 1;
-        return last || !isUncertain(now, quota);
+        boolean isLastRank = rank == quota.ownerCount() - 1;
+        return isLastRank || !isUncertain(now, quota);
     }
 
-    /** An owner new to its incarnation does not know what was used before, until informed or until it cannot matter. */
+    /**
+     * Returns whether this gateway, as an owner, does not know which units were used before its start. It knows once it
+     * was informed of them, or once the bucket would have refilled from empty to full since its start.
+     */
     boolean isUncertain(double now, CustomerQuota quota) {
-        double filled = (now - startedAt) / MS_PER_SECOND * quota.plan().unitsPerSecond();
-        return !quota.isInformed() && filled < quota.plan().burstUnits();
+        double refilledUnits =
+                (now - startedAtMs) / MS_PER_SECOND * quota.plan().unitsPerSecond();
+        return !quota.isInformed() && refilledUnits < quota.plan().burstUnits();
     }
 }
