--- a/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
+++ b/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
@@ -8,25 +8,27 @@
 import java.util.List;
 
 /**
- * Counts, batches and sends the messages to other gateways within what these take in, and accepts those of theirs
- * that are new. What a message says of a customer is another's to decide.
+ * Numbers, batches and sends the messages to other gateways within the rate that they accept, and filters out received
+ * messages that are outdated. The entries of the messages are created by an {@link EntryWriter}.
  *
  * <p>Not thread-safe.
  */
 final class GossipOutbox {
-    private static final double INTAKE_SHARE = 0.8; // of a gateway's intake that is used: bursts fit in the rest
-    private static final double BURST_MS = 150; // time's worth of messages that may leave at once
-    private static final double LONGEST_GAP_MS = 50; // between messages to a peer, where it bounds them
+    private static final double ACCEPTED_RATE_SHARE = 0.8; // the rest is left for bursts
+    private static final double MAX_ALLOWANCE_MS = 150; // time over which unused allowance accumulates
+    private static final double MAX_SEND_INTERVAL_MS = 50; // cap on the minimum interval between messages to a peer
     private static final int MAX_MESSAGE_BYTES = 256;
-    private static final int MAX_ENTRIES =
+    private static final int MAX_ENTRIES_PER_MESSAGE =
             (MAX_MESSAGE_BYTES - QuotaMessageCodec.HEADER_BYTES) / QuotaMessageCodec.MAX_ENTRY_BYTES;
-    private static final double MAX_CLOCK_SKEW_MS = 60_000; // an incarnation that begins later than this is none
+    private static final double MAX_CLOCK_SKEW_MS = 60_000;
     private static final double MS_PER_SECOND = 1000;
 
-    /** Writes the entries of a message as it leaves. */
+    /** Creates the entries of a message when it is sent. */
     interface EntryWriter {
+        /** Returns a report on a quota to one of its owners. */
         ReplicaReport report(double now, PeerState owner, ReplicatedQuota quota);
 
+        /** Returns a reply about a quota to one of its replicas. */
         OwnerReply reply(double now, PeerState replica, ReplicatedQuota quota);
     }
 
@@ -36,36 +38,36 @@
     private final double messagesPerMs;
     private final int incarnation;
     private final Deque<PeerState> queue = new ArrayDeque<>();
-    private double allowance; // messages that may ask now
-    private double refilledAt;
+    private double reportAllowance; // messages without replies that may be sent now
+    private double allowanceRefilledAtMs;
 
-    /** @param intakePerSecond messages that a gateway takes in */
-    GossipOutbox(double now, int gatewayCount, double intakePerSecond, PolicyActions actions, EntryWriter writer) {
+    /** @param acceptedPerSecond messages per second that a gateway accepts from all others */
+    GossipOutbox(double now, int gatewayCount, double acceptedPerSecond, PolicyActions actions, EntryWriter writer) {
         this.gatewayCount = gatewayCount;
         this.actions = actions;
         this.writer = writer;
-        this.messagesPerMs = Math.max(1, intakePerSecond) * INTAKE_SHARE / MS_PER_SECOND;
+        this.messagesPerMs = Math.max(1, acceptedPerSecond) * ACCEPTED_RATE_SHARE / MS_PER_SECOND;
         this.incarnation = incarnationAt(now);
-        this.refilledAt = now;
+        this.allowanceRefilledAtMs = now;
     }
 
-    /** The low 32 bits of a clock in milliseconds, which wrap around every 50 days. */
+    /** Returns the low 32 bits of a time in milliseconds, which wrap around every 50 days. */
     private static int incarnationAt(double now) {
         return (int) (long) now;
     }
 
-    /** This incarnation of the gateway, as its messages name it. */
+    /** Returns this gateway's incarnation: the low 32 bits of its start time in milliseconds. */
     int incarnation() {
         return incarnation;
     }
 
-    /** A report on a customer to one of its owners is due. */
+    /** Queues a report on a quota to one of its owners. */
     void queueReport(PeerState owner, ReplicatedQuota quota) {
         owner.dueReports().add(quota);
         enqueue(owner);
     }
 
-    /** A reply on a customer to one of its replicas is due. */
+    /** Queues a reply about a quota to one of its replicas. */
     void queueReply(PeerState replica, ReplicatedQuota quota) {
         replica.dueReplies().add(quota);
         enqueue(replica);
@@ -76,15 +78,20 @@
         peer.setQueued(true);
     }
 
-    /** Reports take half of the intake, since each may bring a reply; replies only keep the shortest gap. */
+    /**
+     * Sends one message to each queued peer whose minimum interval has passed. Messages without replies are limited to
+     * half of the rate, since each may cause a reply. Messages with replies are limited by the interval alone.
+     */
     void flush(double now) {
-        allowance = Math.min(Math.max(1, messagesPerMs * BURST_MS), allowance + (now - refilledAt) * messagesPerMs / 2);
-        refilledAt = now;
-        double gapMs = Math.min(LONGEST_GAP_MS, (gatewayCount - 1) / messagesPerMs);
+        reportAllowance = Math.min(
+                Math.max(1, messagesPerMs * MAX_ALLOWANCE_MS),
+                reportAllowance + (now - allowanceRefilledAtMs) * messagesPerMs / 2);
+        allowanceRefilledAtMs = now;
+        double sendIntervalMs = Math.min(MAX_SEND_INTERVAL_MS, (gatewayCount - 1) / messagesPerMs);
         for (PeerState peer : new ArrayList<>(queue)) {
-            boolean asksOnly = peer.dueReplies().isEmpty();
-            if (peer.sinceSentMs(now) < gapMs || (asksOnly && allowance < 1)) continue;
-            if (asksOnly) allowance -= 1;
+            boolean hasNoReplies = peer.dueReplies().isEmpty();
+            if (peer.sinceSentMs(now) < sendIntervalMs || (hasNoReplies && reportAllowance < 1)) continue;
+            if (hasNoReplies) reportAllowance -= 1;
             send(now, peer);
             if (peer.hasDue()) continue;
             queue.remove(peer);
@@ -105,7 +112,7 @@
 
     private void writeReplies(double now, PeerState peer, List<QuotaEntry> entries) {
         Iterator<ReplicatedQuota> due = peer.dueReplies().iterator();
-        while (due.hasNext() && entries.size() < MAX_ENTRIES) {
+        while (due.hasNext() && entries.size() < MAX_ENTRIES_PER_MESSAGE) {
             entries.add(writer.reply(now, peer, due.next()));
             due.remove();
         }
@@ -113,17 +120,20 @@
 
     private void writeReports(double now, PeerState peer, List<QuotaEntry> entries) {
         Iterator<ReplicatedQuota> due = peer.dueReports().iterator();
-        while (due.hasNext() && entries.size() < MAX_ENTRIES) {
+        while (due.hasNext() && entries.size() < MAX_ENTRIES_PER_MESSAGE) {
             entries.add(writer.report(now, peer, due.next()));
             due.remove();
         }
     }
 
-    /** Notes a message of a peer; false for one overtaken on the way, sent twice or of another incarnation. */
+    /**
+     * Records a received message in its sender's state. Returns false without recording it if it is a duplicate, if a
+     * later one was accepted before, or if its incarnation is in the future.
+     */
     boolean accept(double now, PeerState peer, QuotaMessage message) {
-        // An incarnation that has yet to begin would make all that its sender says from now on seem late.
-        boolean fromFuture = message.senderIncarnation() - incarnationAt(now) > MAX_CLOCK_SKEW_MS;
-        if (fromFuture || !peer.isNews(message)) return false;
+        // If accepted, a future incarnation would make all messages of the sender's real incarnation look outdated.
+        boolean isFromFuture = message.senderIncarnation() - incarnationAt(now) > MAX_CLOCK_SKEW_MS;
+        if (isFromFuture || !peer.isNews(message)) return false;
         peer.received(message);
         return true;
     }
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -10,8 +10,8 @@
 import java.util.OptionalDouble;
 
 /**
- * The exchange of quota messages with the other gateways: what comes in is handed to the owner's or the replica's
- * side, what is due goes out.
+ * Exchanges quota messages with the other gateways. Passes received reports to {@link ReportHandler}, received replies
+ * to {@link ReplyHandler}, and sends the messages that are due.
  *
  * <p>Not thread-safe.
  */
@@ -26,22 +26,22 @@
     private final ReplyHandler replies;
     private final GossipOutbox outbox;
 
-    /** @param now time of this gateway's start, which names its incarnation in messages */
+    /** @param now time of this gateway's start, which identifies its incarnation in messages */
     public QuotaGossip(
             double now, Settings settings, QuotaTable quotas, QuotaOwnership ownership, PolicyActions actions) {
         this.planCount = settings.plans().size();
         this.peers = ownership.peers();
         this.quotas = quotas;
         this.ownership = ownership;
-        double intakePerSecond = settings.sharing().peerMessagesPerSecond();
-        this.outbox = new GossipOutbox(now, peers.size(), intakePerSecond, actions, new Entries());
+        double acceptedPerSecond = settings.sharing().peerMessagesPerSecond();
+        this.outbox = new GossipOutbox(now, peers.size(), acceptedPerSecond, actions, new CurrentEntryWriter());
         this.replication = new QuotaReplication(settings, ownership, outbox);
         this.requests = new OwnerRequests(quotas, ownership, replication, outbox);
         this.reports = new ReportHandler(settings, quotas, ownership, replication, outbox);
         this.replies = new ReplyHandler(quotas, ownership, replication, requests, outbox);
     }
 
-    /** Bytes came from a peer; from an unknown sender, or damaged, they change nothing. */
+    /** Handles a message from another gateway. A message that is damaged or from an unknown sender is ignored. */
     public void receive(double now, int from, byte[] data) {
         if (!peers.isOther(from)) return;
         Optional<QuotaMessage> decoded = QuotaMessageCodec.decode(data);
@@ -63,12 +63,12 @@
         }
     }
 
-    /** Sends what is due, as far as the peers take it in. */
+    /** Sends the messages that are due, within the rate that peers accept. */
     public void flush(double now) {
         outbox.flush(now);
     }
 
-    /** A customer's use changed here: its owners are to know. */
+    /** Reports to a quota's owners that its use at this gateway has changed. */
     public void quotaChanged(double now, CustomerQuota quota) {
         replication.changed(now, quota);
     }
@@ -78,77 +78,86 @@
         replication.quotaExhausted(now, quota);
     }
 
-    /** Asks an owner to decide; without one that can reply in time the request is decided at once. */
+    /**
+     * Asks an owner to decide a request. If no owner can decide in time, the request is decided locally before this
+     * method returns.
+     *
+     * @param arrivedAt time in milliseconds at which the request arrived
+     */
     public void ask(double now, OwnerRequest request, double arrivedAt) {
         requests.submit(now, request, arrivedAt);
     }
 
-    /** The request needs no decision any more. */
+    /** Removes a request that no longer needs a decision. */
     public void withdraw(OwnerRequest request) {
         requests.withdraw(request);
     }
 
-    /** Passes over owners whose replies are overdue, and asks the next ones. */
+    /** Asks the next owners about requests whose replies are overdue. */
     public void checkOverdueReplies(double now) {
         requests.checkOverdue(now);
     }
 
-    /** This gateway stood still for so long. */
+    /** Extends the times to reply after this gateway's event loop was stalled. */
     public void stalled(double ms) {
         requests.postponeReplies(ms);
     }
 
-    /** Drops what is kept beside a quota; false where requests are held for it. */
+    /**
+     * Removes the replication state of a quota, unless requests await a decision on it.
+     *
+     * @return false if requests await a decision, so that the state is kept
+     */
     public boolean release(CustomerQuota quota) {
         return replication.release(quota);
     }
 
-    /** Writes entries as they leave, so that they report the latest. */
-    private final class Entries implements GossipOutbox.EntryWriter {
+    /** Creates each entry when its message is sent, so that it carries the current state. */
+    private final class CurrentEntryWriter implements GossipOutbox.EntryWriter {
         @Override
-        public ReplicaReport report(double now, PeerState owner, ReplicatedQuota kept) {
-            CustomerQuota quota = kept.quota();
+        public ReplicaReport report(double now, PeerState owner, ReplicatedQuota replicated) {
+            CustomerQuota quota = replicated.quota();
             quotas.refill(now, quota);
-            kept.askedBy(owner);
-            double wanted = kept.heldUnits();
+            replicated.askedBy(owner);
+            double wantedUnits = replicated.heldUnits();
             return new ReplicaReport(
                     quota.customer(),
                     quota.planNumber(),
                     quota.firstReplica(),
                     quota.replicaCount(),
                     quota.usedUnits(),
-                    wanted,
+                    wantedUnits,
                     quota.ownDemandPerSecond(),
                     quota.open(),
-                    freshFullness(now, quota),
-                    wantsReply(now, owner, kept),
-                    !quota.ceilingAdmits(wanted));
+                    knownFillRatio(now, quota),
+                    wantsReply(now, owner, replicated),
+                    !quota.ceilingAdmits(wantedUnits));
         }
 
-        private OptionalDouble freshFullness(double now, CustomerQuota quota) {
-            boolean fresh = ownership.decidesLocally(now, quota)
+        private OptionalDouble knownFillRatio(double now, CustomerQuota quota) {
+            boolean isFresh = ownership.decidesLocally(now, quota)
                     || quota.ownerReplyAgeMs(now) < AdmissionControl.REPLY_FRESH_MS;
-            return fresh ? OptionalDouble.of(quota.fullness()) : OptionalDouble.empty();
+            return isFresh ? OptionalDouble.of(quota.fullness()) : OptionalDouble.empty();
         }
 
-        private boolean wantsReply(double now, PeerState owner, ReplicatedQuota kept) {
-            return ownership.decidingOwner(now, kept.quota(), 0) == owner.number()
+        private boolean wantsReply(double now, PeerState owner, ReplicatedQuota replicated) {
+            return ownership.decidingOwner(now, replicated.quota(), 0) == owner.number()
                     || owner.isSilent(now)
-                    || kept.isAsking(owner);
+                    || replicated.isAsking(owner);
         }
 
         @Override
-        public OwnerReply reply(double now, PeerState replicaPeer, ReplicatedQuota kept) {
-            CustomerQuota quota = kept.quota();
+        public OwnerReply reply(double now, PeerState replicaPeer, ReplicatedQuota replicated) {
+            CustomerQuota quota = replicated.quota();
             quotas.refill(now, quota);
-            ReplicaState replica = kept.replica(replicaPeer);
-            double theirDemand = replica.demandPerSecond(now);
+            ReplicaState replica = replicated.replica(replicaPeer);
+            double replicaDemand = replica.demandPerSecond(now);
             return new OwnerReply(
                     quota.customer(),
                     quota.planNumber(),
                     replica.bookedUnits(),
                     replica.grantedUnits(),
-                    Math.max(0, quota.totalDemandPerSecond() - theirDemand),
+                    Math.max(0, quota.totalDemandPerSecond() - replicaDemand),
                     quota.openAnywhere() - replica.openRequests(),
                     quota.fullness(),
                     ownership.isUncertain(now, quota),
--- a/src/main/java/caperrudder/policy/gossip/QuotaReplication.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaReplication.java
@@ -8,69 +8,78 @@
 import java.util.Map;
 
 /**
- * Keeps the owners of quotas informed of what changes here, and what gossip keeps beside each quota.
+ * Reports changes of quotas at this gateway to the quotas' owners, and holds the replication state of each quota.
  *
  * <p>Not thread-safe.
  */
 final class QuotaReplication implements RejectionListener {
-    private static final double SYNC_MS = 300; // how often an owner informs the other owner of a customer
+    private static final double SYNC_INTERVAL_MS = 300; // minimum time between reports that are not urgent
 
-    private final boolean peersInformed;
+    private final boolean isPeerGossipEnabled;
     private final PeerTable peers;
     private final QuotaOwnership ownership;
     private final GossipOutbox outbox;
-    private final Map<CustomerQuota, ReplicatedQuota> replicated = new HashMap<>(); // only of those ever replicated
+    private final Map<CustomerQuota, ReplicatedQuota> replicatedQuotas = new HashMap<>();
 
     QuotaReplication(Settings settings, QuotaOwnership ownership, GossipOutbox outbox) {
-        this.peersInformed = UsageSource.of(settings) == UsageSource.PEERS;
+        this.isPeerGossipEnabled = UsageSource.of(settings) == UsageSource.PEERS;
         this.peers = ownership.peers();
         this.ownership = ownership;
         this.outbox = outbox;
     }
 
+    /** Returns the replication state of a quota, which is created on first use. */
     ReplicatedQuota of(CustomerQuota quota) {
-        return replicated.computeIfAbsent(quota, ReplicatedQuota::new);
+        return replicatedQuotas.computeIfAbsent(quota, ReplicatedQuota::new);
     }
 
-    /** Drops what is kept beside a quota; false where requests are held for it. */
+    /**
+     * Removes the replication state of a quota, unless requests await a decision on it.
+     *
+     * @return false if requests await a decision, so that the state is kept
+     */
     boolean release(CustomerQuota quota) {
-        ReplicatedQuota kept = replicated.get(quota);
-        if (kept != null && kept.holdsRequests()) return false;
-        replicated.remove(quota);
+        ReplicatedQuota replicated = replicatedQuotas.get(quota);
+        if (replicated != null && replicated.holdsRequests()) return false;
+        replicatedQuotas.remove(quota);
         return true;
     }
 
-    /** The owner in charge is to know at once; where it is this gateway, the other owners now and then. */
+    /**
+     * Reports a change of a quota: immediately to the owner that decides on it, or at intervals to the other owners if
+     * this gateway decides.
+     */
     void changed(double now, CustomerQuota quota) {
         if (!isReplicated(quota)) return;
-        ReplicatedQuota kept = of(quota);
+        ReplicatedQuota replicated = of(quota);
         int owner = ownership.decidingOwner(now, quota, 0);
         if (owner != peers.ownNumber()) {
-            kept.reported(now);
-            if (owner != QuotaOwnership.NO_OWNER) outbox.queueReport(peers.get(owner), kept);
-        } else if (isSyncDue(now, kept)) {
-            kept.reported(now);
-            reportToOtherOwners(kept);
+            replicated.reported(now);
+            if (owner != QuotaOwnership.NO_OWNER) outbox.queueReport(peers.get(owner), replicated);
+        } else if (isSyncDue(now, replicated)) {
+            replicated.reported(now);
+            reportToOtherOwners(replicated);
         }
     }
 
     private boolean isReplicated(CustomerQuota quota) {
-        return peersInformed && quota.replicaCount() > 1;
+        return isPeerGossipEnabled && quota.replicaCount() > 1;
     }
 
-    private static boolean isSyncDue(double now, ReplicatedQuota kept) {
-        return kept.sinceReportMs(now) > SYNC_MS;
+    /** Returns whether enough time has passed since the last report for one that is not urgent. */
+    private static boolean isSyncDue(double now, ReplicatedQuota replicated) {
+        return replicated.sinceReportMs(now) > SYNC_INTERVAL_MS;
     }
 
-    private void reportToOtherOwners(ReplicatedQuota kept) {
-        CustomerQuota quota = kept.quota();
+    private void reportToOtherOwners(ReplicatedQuota replicated) {
+        CustomerQuota quota = replicated.quota();
         for (int rank = 0; rank < quota.ownerCount(); rank++) {
             int owner = quota.owner(rank);
-            if (owner != peers.ownNumber()) outbox.queueReport(peers.get(owner), kept);
+            if (owner != peers.ownNumber()) outbox.queueReport(peers.get(owner), replicated);
         }
     }
 
-    /** Demand that finds no capacity is reported, too, but not each time. */
+    /** Reports demand that exceeded the quota, at intervals rather than for each rejected request. */
     @Override
     public void quotaExhausted(double now, CustomerQuota quota) {
         if (isReplicated(quota) && isSyncDue(now, of(quota))) changed(now, quota);
--- a/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
@@ -8,15 +8,16 @@
 import java.util.TreeMap;
 
 /**
- * What gossip keeps beside one customer's quota: what each peer knows of it, and requests held for an owner's reply.
+ * The replication state of one customer's quota: the state of each peer, and the requests that await an owner's
+ * decision.
  *
  * <p>Not thread-safe.
  */
 final class ReplicatedQuota {
     private final CustomerQuota quota;
-    private final Map<Integer, ReplicaState> replicas = new TreeMap<>(); // by the gateway's number
-    private final Deque<OwnerRequest> held = new ArrayDeque<>();
-    private double reportedAt = Double.NEGATIVE_INFINITY;
+    private final Map<Integer, ReplicaState> replicas = new TreeMap<>(); // by gateway number
+    private final Deque<OwnerRequest> pendingRequests = new ArrayDeque<>();
+    private double lastReportDueAtMs = Double.NEGATIVE_INFINITY;
 
     ReplicatedQuota(CustomerQuota quota) {
         this.quota = quota;
@@ -26,16 +27,17 @@
         return quota;
     }
 
-    /** Time since this gateway last reported on the customer, or meant to. */
+    /** Returns the time since a report on the quota was last due; infinite if none was. */
     double sinceReportMs(double now) {
-        return now - reportedAt;
+        return now - lastReportDueAtMs;
     }
 
+    /** Records that a report on the quota is due now. */
     void reported(double now) {
-        reportedAt = now;
+        lastReportDueAtMs = now;
     }
 
-    /** What is known between this gateway and a peer, new for each incarnation of the peer. */
+    /** Returns the state of a peer. It is created on first use and replaced if the peer has a new incarnation. */
     ReplicaState replica(PeerState peer) {
         ReplicaState replica = replicas.get(peer.number());
         if (replica == null || replica.incarnation() != peer.incarnation()) {
@@ -46,42 +48,51 @@
         return replica;
     }
 
+    /** Adds a request that awaits an owner's decision, if it is not yet present. */
     void hold(OwnerRequest request) {
-        if (!held.contains(request)) held.addLast(request);
+        if (!pendingRequests.contains(request)) pendingRequests.addLast(request);
     }
 
+    /** Removes a request that no longer awaits a decision. */
     void release(OwnerRequest request) {
-        held.remove(request);
+        pendingRequests.remove(request);
     }
 
+    /** Returns whether requests await an owner's decision. */
     boolean holdsRequests() {
-        return !held.isEmpty();
+        return !pendingRequests.isEmpty();
     }
 
-    /** Units that all held requests need. */
+    /** Returns the units of all requests that await a decision. */
     double heldUnits() {
-        return held.stream().mapToDouble(OwnerRequest::units).sum();
+        return pendingRequests.stream().mapToDouble(OwnerRequest::units).sum();
     }
 
+    /** Returns whether requests await a decision of this owner. */
     boolean isAsking(PeerState owner) {
-        return held.stream().anyMatch(request -> request.isAskedOf(owner));
+        return pendingRequests.stream().anyMatch(request -> request.isAskedOf(owner));
     }
 
-    /** The held requests that an owner was asked for, in order. */
+    /** Returns the requests that await a decision of this owner, in the order in which they were added. */
     List<OwnerRequest> askedOf(PeerState owner) {
-        return held.stream().filter(request -> request.isAskedOf(owner)).toList();
+        return pendingRequests.stream()
+                .filter(request -> request.isAskedOf(owner))
+                .toList();
     }
 
-    /** The held requests that a message up to this number asked an owner for, in order. */
+    /**
+     * Returns the requests that await a decision of this owner and that the messages up to the acknowledged one asked
+     * for, in the order in which they were added.
+     */
     List<OwnerRequest> askedOf(PeerState owner, int acknowledgedSerial) {
-        return held.stream()
+        return pendingRequests.stream()
                 .filter(request -> request.isAskedOf(owner) && request.isAskedBy(acknowledgedSerial))
                 .toList();
     }
 
-    /** The message now written asks the owner for all that is held for it. */
+    /** Records that the message being written asks the owner about all requests that await its decision. */
     void askedBy(PeerState owner) {
-        for (OwnerRequest request : held) {
+        for (OwnerRequest request : pendingRequests) {
             if (request.isAskedOf(owner)) request.askedBy(owner.sentSerial());
         }
     }
--- a/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * This gateway as a replica: takes over what an owner replies, and decides the requests held for it by what was
- * granted.
+ * Handles the replies of owners to this gateway as a replica: takes over the owner's view of the quota and decides the
+ * requests that await the reply according to the granted units.
  *
  * <p>Not thread-safe.
  */
@@ -32,39 +32,39 @@
         this.outbox = outbox;
     }
 
-    /** @param acknowledgedSerial of the last message from here that the owner had read */
+    /** @param acknowledgedSerial the serial of the last message from this gateway that the owner had accepted */
     void handle(double now, PeerState owner, OwnerReply reply, int acknowledgedSerial) {
         CustomerQuota quota = quotas.find(reply.customer());
         if (quota == null) return;
         quotas.refill(now, quota);
-        ReplicatedQuota kept = replication.of(quota);
-        if (quota.planNumber() != reply.planNumber()) { // one of the two received a wrong plan: this grants nothing
-            kept.askedOf(owner).forEach(request -> request.applicant().decided(now, false));
+        ReplicatedQuota replicated = replication.of(quota);
+        if (quota.planNumber() != reply.planNumber()) { // one of the two gateways has a wrong plan
+            replicated.askedOf(owner).forEach(request -> request.applicant().decided(now, false));
             return;
         }
-        takeCeiling(quota, kept.replica(owner), reply);
-        List<OwnerRequest> answered = kept.askedOf(owner, acknowledgedSerial);
-        if (!reply.uncertain()) takeView(now, quota, reply);
-        decide(now, owner, reply, answered);
+        receiveCeiling(quota, replicated.replica(owner), reply);
+        List<OwnerRequest> answeredRequests = replicated.askedOf(owner, acknowledgedSerial);
+        if (!reply.uncertain()) applyOwnerView(now, quota, reply);
+        decide(now, owner, reply, answeredRequests);
     }
 
-    private static void takeCeiling(CustomerQuota quota, ReplicaState replica, OwnerReply reply) {
+    private static void receiveCeiling(CustomerQuota quota, ReplicaState replica, OwnerReply reply) {
         if (reply.ceilingUnitsGiven().isEmpty()) return;
-        double given = reply.ceilingUnitsGiven().getAsDouble();
-        if (given <= replica.ceilingTaken()) return;
-        quota.receiveCeiling(given, replica.ceilingTaken());
-        replica.tookCeiling(given);
+        double givenUnits = reply.ceilingUnitsGiven().getAsDouble();
+        if (givenUnits <= replica.ceilingTaken()) return;
+        quota.receiveCeiling(givenUnits, replica.ceilingTaken());
+        replica.tookCeiling(givenUnits);
     }
 
-    private static void takeView(double now, CustomerQuota quota, OwnerReply reply) {
-        double unbooked = SerialArithmetic.unitsAhead(quota.usedUnits(), reply.bookedUnits());
-        double level = reply.fullness() * quota.plan().burstUnits() - unbooked;
-        quota.ownerReplied(now, reply.othersDemandPerSecond(), reply.othersOpenRequests(), level);
+    private static void applyOwnerView(double now, CustomerQuota quota, OwnerReply reply) {
+        double unbookedUnits = SerialArithmetic.unitsAhead(quota.usedUnits(), reply.bookedUnits());
+        double sharedLevel = reply.fullness() * quota.plan().burstUnits() - unbookedUnits;
+        quota.ownerReplied(now, reply.othersDemandPerSecond(), reply.othersOpenRequests(), sharedLevel);
     }
 
-    private void decide(double now, PeerState owner, OwnerReply reply, List<OwnerRequest> answered) {
-        double granted = reply.grantedUnits();
-        for (OwnerRequest request : answered) {
+    private void decide(double now, PeerState owner, OwnerReply reply, List<OwnerRequest> answeredRequests) {
+        double remainingUnits = reply.grantedUnits();
+        for (OwnerRequest request : answeredRequests) {
             if (reply.uncertain() && OwnerRequests.hasNext(request)) {
                 requests.askNext(now, request);
                 continue;
@@ -72,14 +72,14 @@
             requests.withdraw(request);
             CustomerQuota quota = request.quota();
             double units = request.units();
-            boolean admitted = granted >= units && quota.ceilingAdmits(units);
-            granted -= admitted ? units : 0;
+            boolean admitted = remainingUnits >= units && quota.ceilingAdmits(units);
+            remainingUnits -= admitted ? units : 0;
             request.applicant().decided(now, admitted);
             if (admitted) informFirstOwner(owner, quota);
         }
     }
 
-    /** The first owner did not book what another one granted. */
+    /** Reports to the first owner, which has not booked the units that another owner granted. */
     private void informFirstOwner(PeerState grantedBy, CustomerQuota quota) {
         int first = quota.owner(0);
         if (grantedBy.number() == first || ownership.isFirstOwner(quota)) return;
--- a/src/main/java/caperrudder/policy/gossip/ReportHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReportHandler.java
@@ -5,7 +5,8 @@
 import caperrudder.policy.quota.QuotaTable;
 
 /**
- * This gateway as an owner: books what replicas report and grants what they want, as far as the bucket has it.
+ * Handles the reports of replicas to this gateway as an owner: books the units that they used and grants the units that
+ * they want, if the quota admits them.
  *
  * <p>Not thread-safe.
  */
@@ -32,29 +33,32 @@
     }
 
     void handle(double now, PeerState peer, ReplicaReport report) {
-        if (!isPossible(peer, report)) return;
+        if (!isFromReplica(peer, report)) return;
         CustomerQuota quota = quotas.findOrCreate(
                 now, report.customer(), report.planNumber(), report.firstReplica(), report.replicaCount());
         if (quota == null || !ownership.isOwner(quota)) return;
-        boolean adopted = adoptView(now, peer, quota, report);
-        ReplicatedQuota kept = replication.of(quota);
-        ReplicaState replica = kept.replica(peer);
-        noteDemand(now, quota, replica, report);
-        double spent = adopted ? 0 : replica.unbookedUnits(report.usedUnits(), maxUnits);
-        noteOpen(quota, replica, report);
-        quota.book(spent);
-        double granted = grant(quota, replica, report);
-        if (spent + granted != 0 && ownership.decidesLocally(now, quota)) replication.changed(now, quota);
-        if (report.wantsReply()) outbox.queueReply(peer, kept);
+        boolean viewAdopted = adoptView(now, peer, quota, report);
+        ReplicatedQuota replicated = replication.of(quota);
+        ReplicaState replica = replicated.replica(peer);
+        recordDemand(now, quota, replica, report);
+        double newlyUsedUnits = viewAdopted ? 0 : replica.unbookedUnits(report.usedUnits(), maxUnits);
+        recordOpenRequests(quota, replica, report);
+        quota.book(newlyUsedUnits);
+        double grantedUnits = grant(quota, replica, report);
+        if (newlyUsedUnits + grantedUnits != 0 && ownership.decidesLocally(now, quota)) replication.changed(now, quota);
+        if (report.wantsReply()) outbox.queueReply(peer, replicated);
     }
 
-    /** Whether the sender may stand in the replica set that it names. */
-    private boolean isPossible(PeerState peer, ReplicaReport report) {
-        int place = Math.floorMod(peer.number() - report.firstReplica(), peers.size());
-        return report.replicaCount() <= peers.size() && place < report.replicaCount();
+    /** Returns whether the sender belongs to the replica set that its report names. */
+    private boolean isFromReplica(PeerState peer, ReplicaReport report) {
+        int position = Math.floorMod(peer.number() - report.firstReplica(), peers.size());
+        return report.replicaCount() <= peers.size() && position < report.replicaCount();
     }
 
-    /** Takes over the bucket's view of the owner in charge, or of anyone fresh where this one knows nothing. */
+    /**
+     * Takes over the sender's view of the shared bucket if the sender decides on the quota, or if this gateway is
+     * uncertain. Returns whether the view was taken over.
+     */
     private boolean adoptView(double now, PeerState peer, CustomerQuota quota, ReplicaReport report) {
         if (report.fullness().isEmpty()) return false;
         boolean uncertain = ownership.isUncertain(now, quota);
@@ -63,28 +67,30 @@
         return true;
     }
 
-    private static void noteDemand(double now, CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
+    private static void recordDemand(double now, CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
         quota.replicaDemandChanged(report.demandPerSecond(), replica.demandPerSecond(now));
         replica.demandReported(now, report.demandPerSecond());
     }
 
-    private static void noteOpen(CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
+    private static void recordOpenRequests(CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
         quota.replicaOpenChanged(report.openRequests() - replica.openRequests());
         replica.openReported(report.openRequests());
     }
 
-    /** Grants the wanted units, all or none, and books them; returns those granted. */
+    /** Grants all wanted units or none, books them, and returns the number granted. */
     private static double grant(CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
-        double wanted = report.wantedUnits();
-        boolean ofCeiling = report.wantsCeilingUnits() && quota.hasCeiling();
-        boolean grants = wanted > 0 && quota.canGrant(wanted) && (!ofCeiling || quota.ceilingAdmits(wanted));
-        double granted = grants ? wanted : 0;
-        replica.book(report.usedUnits(), granted);
-        quota.grant(granted);
-        if (grants && ofCeiling && report.wantsReply()) { // deducted here first, so a lost message loses units
-            quota.handOverCeiling(wanted);
-            replica.gaveCeiling(wanted);
+        double wantedUnits = report.wantedUnits();
+        boolean needsCeiling = report.wantsCeilingUnits() && quota.hasCeiling();
+        boolean isGranted =
+                wantedUnits > 0 && quota.canGrant(wantedUnits) && (!needsCeiling || quota.ceilingAdmits(wantedUnits));
+        double grantedUnits = isGranted ? wantedUnits : 0;
+        replica.book(report.usedUnits(), grantedUnits);
+        quota.grant(grantedUnits);
+        if (isGranted && needsCeiling && report.wantsReply()) {
+            // Deducted before the reply is sent: a lost reply loses units rather than creating some.
+            quota.handOverCeiling(wantedUnits);
+            replica.gaveCeiling(wantedUnits);
         }
-        return granted;
+        return grantedUnits;
     }
 }
