--- a/src/test/java/caperrudder/policy/gossip/QuotaMessageGoldenTest.java
+++ b/src/test/java/caperrudder/policy/gossip/QuotaMessageGoldenTest.java
@@ -23,67 +23,63 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Pins the bytes of the messages between gateways. Gateways of two versions talk to each other during an upgrade, so
- * each golden message has to be decoded to the same fields and encoded to the same bytes by every version.
+ * Compares encoded and decoded quota messages with golden files. During an upgrade gateways of two releases exchange
+ * messages, so the encoding must not change.
  */
 class QuotaMessageGoldenTest {
-    private static final String FILE = "peer-messages.txt";
+    private static final String GOLDEN_FILE = "peer-messages.txt";
     private static final byte VERSION = 3;
-    private static final int CHECKSUM_AT = 1; // two bytes
-    private static final int CHECKED_FROM = 3;
-    private static final int COUNT_AT = 15; // of the entries, the last byte of the header
+    private static final int CHECKSUM_OFFSET = 1; // two bytes
+    private static final int AFTER_CHECKSUM_OFFSET = 3;
+    private static final int ENTRY_COUNT_OFFSET = 15; // last byte of the header
     private static final int HEADER_BYTES = 16;
-    private static final String UNDEFINED_FLAGS = "largest-values"; // has flags that its kinds of entry don't define
-    private static final int REPORT_FLAGS_AT = HEADER_BYTES;
-    private static final int REPLY_FLAGS_AT = REPORT_FLAGS_AT + 23;
-    private static final int REPORT_FLAGS = 0b10110; // wants a reply, ceiling units; tells the fullness
-    private static final int REPLY_FLAGS = 0b01101; // is a reply, with ceiling units, uncertain
+    private static final String UNDEFINED_FLAGS_MESSAGE = "largest-values"; // has undefined flags set in both entries
+    private static final int REPORT_BYTES = 23; // of a report with a fill ratio
+    private static final int REPORT_FLAGS_OFFSET = HEADER_BYTES;
+    private static final int REPLY_FLAGS_OFFSET = REPORT_FLAGS_OFFSET + REPORT_BYTES;
+    private static final int DEFINED_REPORT_FLAGS = 0b10110; // wants a reply, wants ceiling units, has a fill ratio
+    private static final int DEFINED_REPLY_FLAGS = 0b01101; // is a reply, has ceiling units, is uncertain
 
-    private static final QuotaEntry REPLICA_REQUESTS =
+    private static final QuotaEntry REPORT_WANTING_UNITS =
             new ReplicaReport(5, 0, 1, 2, 1.5, 4, 2.25, 1, OptionalDouble.empty(), true, false);
-    private static final QuotaEntry REPLICA_REQUESTS_WITH_VIEW =
+    private static final QuotaEntry REPORT_WITH_FILL_RATIO =
             new ReplicaReport(0xAB_1234_5678L, 3, 7, 300, 1000.0625, 0.25, 40, 2, OptionalDouble.of(0.5), true, false);
-    private static final QuotaEntry REPLICA_REQUESTS_FOR_CEILING =
+    private static final QuotaEntry REPORT_WANTING_CEILING_UNITS =
             new ReplicaReport(4711, 1, 0, 5, 77.75, 12.5, 3.1875, 0, OptionalDouble.of(-0.25), true, true);
-    private static final QuotaEntry REPLICA_REPORTS =
+    private static final QuotaEntry REPORT_WITHOUT_REPLY =
             new ReplicaReport(6, 2, 0, 2, 8, 0, 1, 3, OptionalDouble.empty(), false, false);
-    private static final QuotaEntry OWNER_REPLIES =
+    private static final QuotaEntry REPLY_WITHOUT_CEILING =
             new OwnerReply(5, 0, 5.5, 4, 0.5, 6, 0.75, false, OptionalDouble.empty());
-    private static final QuotaEntry OWNER_REPLIES_WITH_CEILING =
+    private static final QuotaEntry REPLY_WITH_CEILING =
             new OwnerReply(4711, 1, 90.25, 12.5, 9, 2, -1, false, OptionalDouble.of(20.0625));
-    private static final QuotaEntry OWNER_IS_UNCERTAIN =
+    private static final QuotaEntry UNCERTAIN_REPLY =
             new OwnerReply(0xFF_0000_0001L, 2, 0, 0, 0, 0, 1, true, OptionalDouble.empty());
-    private static final QuotaEntry OWNER_IS_UNCERTAIN_OF_CEILING =
+    private static final QuotaEntry UNCERTAIN_REPLY_WITH_CEILING =
             new OwnerReply(9, 4, 2, 1, 0.0625, 1, 0, true, OptionalDouble.of(3));
 
-    /** By name, what each golden message says. */
+    /** The decoded fields of each golden message, by name. */
     private static final Map<String, QuotaMessage> MESSAGES = messages();
 
-    /** By name, what was encoded where a field could not hold a value: it is held at its limit or wraps around. */
-    private static final Map<String, QuotaMessage> BEYOND_THE_FIELDS = beyondTheFields();
+    /** Messages with values outside the range of their fields, by the name of the golden message that encodes them. */
+    private static final Map<String, QuotaMessage> OUT_OF_RANGE_MESSAGES = outOfRangeMessages();
 
     private static Map<String, QuotaMessage> messages() {
         Map<String, QuotaMessage> all = new LinkedHashMap<>();
         all.put("empty", new QuotaMessage(1, 0, 1, 0, List.of()));
-        all.put("replica-asks", new QuotaMessage(1_700_000_000, 1_600_000_000, 2, 1, List.of(REPLICA_REQUESTS)));
-        all.put("replica-asks-with-view", new QuotaMessage(-2, 17, 300, 299, List.of(REPLICA_REQUESTS_WITH_VIEW)));
-        all.put("replica-asks-for-ceiling", new QuotaMessage(100, 200, 3, 4, List.of(REPLICA_REQUESTS_FOR_CEILING)));
-        all.put("replica-reports", new QuotaMessage(100, 200, 4, 4, List.of(REPLICA_REPORTS)));
-        all.put("owner-answers", new QuotaMessage(200, 100, 5, 3, List.of(OWNER_REPLIES)));
-        all.put("owner-answers-with-ceiling", new QuotaMessage(200, 100, 6, 3, List.of(OWNER_REPLIES_WITH_CEILING)));
-        all.put("owner-is-unsure", new QuotaMessage(200, 0, 1, 3, List.of(OWNER_IS_UNCERTAIN)));
-        all.put("owner-is-unsure-of-ceiling", new QuotaMessage(200, 0, 2, 3, List.of(OWNER_IS_UNCERTAIN_OF_CEILING)));
+        all.put("replica-asks", new QuotaMessage(1_700_000_000, 1_600_000_000, 2, 1, List.of(REPORT_WANTING_UNITS)));
+        all.put("replica-asks-with-view", new QuotaMessage(-2, 17, 300, 299, List.of(REPORT_WITH_FILL_RATIO)));
+        all.put("replica-asks-for-ceiling", new QuotaMessage(100, 200, 3, 4, List.of(REPORT_WANTING_CEILING_UNITS)));
+        all.put("replica-reports", new QuotaMessage(100, 200, 4, 4, List.of(REPORT_WITHOUT_REPLY)));
+        all.put("owner-answers", new QuotaMessage(200, 100, 5, 3, List.of(REPLY_WITHOUT_CEILING)));
+        all.put("owner-answers-with-ceiling", new QuotaMessage(200, 100, 6, 3, List.of(REPLY_WITH_CEILING)));
+        all.put("owner-is-unsure", new QuotaMessage(200, 0, 1, 3, List.of(UNCERTAIN_REPLY)));
+        all.put("owner-is-unsure-of-ceiling", new QuotaMessage(200, 0, 2, 3, List.of(UNCERTAIN_REPLY_WITH_CEILING)));
         all.put(
                 "several-entries",
-                new QuotaMessage(
-                        300,
-                        400,
-                        7,
-                        8,
-                        List.of(OWNER_REPLIES_WITH_CEILING, REPLICA_REQUESTS_WITH_VIEW, OWNER_IS_UNCERTAIN)));
+                new QuotaMessage(300, 400, 7, 8, List.of(REPLY_WITH_CEILING, REPORT_WITH_FILL_RATIO, UNCERTAIN_REPLY)));
         all.put(
                 "eight-entries",
-                new QuotaMessage(300, 400, 8, 8, Collections.nCopies(8, REPLICA_REQUESTS_FOR_CEILING)));
+                new QuotaMessage(300, 400, 8, 8, Collections.nCopies(8, REPORT_WANTING_CEILING_UNITS)));
         all.put(
                 "largest-values",
                 new QuotaMessage(
@@ -146,7 +142,7 @@
         return all;
     }
 
-    private static Map<String, QuotaMessage> beyondTheFields() {
+    private static Map<String, QuotaMessage> outOfRangeMessages() {
         Map<String, QuotaMessage> all = new LinkedHashMap<>();
         all.put(
                 "largest-values",
@@ -220,88 +216,90 @@
         return all;
     }
 
-    private static byte[] golden(String name) {
-        String hex = GoldenFiles.hexByName(FILE).get(name);
+    private static byte[] goldenBytes(String name) {
+        String hex = GoldenFiles.hexByName(GOLDEN_FILE).get(name);
         assertNotNull(hex, name);
         return HexFormat.of().parseHex(hex);
     }
 
     /**
-     * The golden message without flags that its kinds of entry don't define: no version has sent them. They are
-     * ignored when read, and so not written again.
+     * Returns the golden message without the flags that its entry types do not define. No release has sent such flags.
+     * Decoding ignores them, so encoding does not write them again.
      */
     private static byte[] withDefinedFlags(String name) {
-        byte[] message = golden(name);
-        if (!name.equals(UNDEFINED_FLAGS)) return message;
-        message[REPORT_FLAGS_AT] &= REPORT_FLAGS;
-        message[REPLY_FLAGS_AT] &= REPLY_FLAGS;
-        return sealed(message);
+        byte[] message = goldenBytes(name);
+        if (!name.equals(UNDEFINED_FLAGS_MESSAGE)) return message;
+        message[REPORT_FLAGS_OFFSET] &= DEFINED_REPORT_FLAGS;
+        message[REPLY_FLAGS_OFFSET] &= DEFINED_REPLY_FLAGS;
+        return withChecksum(message);
     }
 
-    static Stream<String> names() {
+    static Stream<String> messageNames() {
         return MESSAGES.keySet().stream();
     }
 
-    static Stream<String> namesBeyondTheFields() {
-        return BEYOND_THE_FIELDS.keySet().stream();
+    static Stream<String> outOfRangeMessageNames() {
+        return OUT_OF_RANGE_MESSAGES.keySet().stream();
     }
 
-    /** The message with the checksum that its bytes have to carry, computed apart from the program. */
-    private static byte[] sealed(byte[] message) {
-        byte[] sealed = message.clone();
-        CRC32 sum = new CRC32();
-        sum.update(sealed, 0, CHECKSUM_AT);
-        sum.update(sealed, CHECKED_FROM, sealed.length - CHECKED_FROM);
-        sealed[CHECKSUM_AT] = (byte) (sum.getValue() >>> 8);
-        sealed[CHECKSUM_AT + 1] = (byte) sum.getValue();
-        return sealed;
+    /** Returns the message with the correct checksum, computed independently of the codec. */
+    private static byte[] withChecksum(byte[] message) {
+        byte[] result = message.clone();
+        CRC32 crc = new CRC32();
+        crc.update(result, 0, CHECKSUM_OFFSET);
+        crc.update(result, AFTER_CHECKSUM_OFFSET, result.length - AFTER_CHECKSUM_OFFSET);
+        result[CHECKSUM_OFFSET] = (byte) (crc.getValue() >>> 8);
+        result[CHECKSUM_OFFSET + 1] = (byte) crc.getValue();
+        return result;
     }
 
     @Test
-    void everyGoldenMessageIsKnownHere() {
+    void goldenFileHasExactlyTheExpectedMessages() {
         assertEquals(
                 List.copyOf(MESSAGES.keySet()),
-                List.copyOf(GoldenFiles.hexByName(FILE).keySet()));
-        assertEquals(Set.of("largest-values", "smallest-values", "rounded-values"), BEYOND_THE_FIELDS.keySet());
+                List.copyOf(GoldenFiles.hexByName(GOLDEN_FILE).keySet()));
+        assertEquals(Set.of("largest-values", "smallest-values", "rounded-values"), OUT_OF_RANGE_MESSAGES.keySet());
     }
 
     @ParameterizedTest
-    @MethodSource("names")
-    void goldenMessageIsDecodedToItsFieldsAndEncodedToItsBytes(String name) {
-        byte[] golden = golden(name);
+    @MethodSource("messageNames")
+    void goldenMessageDecodesToItsFieldsAndEncodesToItsBytes(String name) {
+        byte[] golden = goldenBytes(name);
         assertEquals(Optional.of(MESSAGES.get(name)), QuotaMessageCodec.decode(golden));
         assertArrayEquals(withDefinedFlags(name), QuotaMessageCodec.encode(MESSAGES.get(name)));
-        assertArrayEquals(golden, sealed(golden), "version, checksum and what it covers");
+        assertArrayEquals(golden, withChecksum(golden), "checksum of the golden message");
         assertEquals(VERSION, golden[0]);
-        assertEquals(MESSAGES.get(name).entries().size(), golden[COUNT_AT]);
+        assertEquals(MESSAGES.get(name).entries().size(), golden[ENTRY_COUNT_OFFSET]);
     }
 
     @ParameterizedTest
-    @MethodSource("namesBeyondTheFields")
-    void valuesThatAFieldCannotHoldAreEncodedAsInTheGoldenMessage(String name) {
-        assertArrayEquals(withDefinedFlags(name), QuotaMessageCodec.encode(BEYOND_THE_FIELDS.get(name)));
+    @MethodSource("outOfRangeMessageNames")
+    void outOfRangeValuesAreClampedOrWrapAroundAsInTheGoldenMessage(String name) {
+        assertArrayEquals(withDefinedFlags(name), QuotaMessageCodec.encode(OUT_OF_RANGE_MESSAGES.get(name)));
     }
 
     @ParameterizedTest
-    @MethodSource("names")
+    @MethodSource("messageNames")
     void truncatedOrLongerMessageIsRejected(String name) {
-        byte[] golden = golden(name);
+        byte[] golden = goldenBytes(name);
         for (int length = 0; length < golden.length; length++) {
-            byte[] torn = Arrays.copyOf(golden, length);
-            assertEquals(Optional.empty(), QuotaMessageCodec.decode(torn), "first " + length + " bytes");
+            byte[] truncated = Arrays.copyOf(golden, length);
+            assertEquals(Optional.empty(), QuotaMessageCodec.decode(truncated), "first " + length + " bytes");
             if (length >= HEADER_BYTES)
                 assertEquals(
-                        Optional.empty(), QuotaMessageCodec.decode(sealed(torn)), "first " + length + " bytes, sealed");
+                        Optional.empty(),
+                        QuotaMessageCodec.decode(withChecksum(truncated)),
+                        "first " + length + " bytes, correct checksum");
         }
-        byte[] longer = Arrays.copyOf(golden, golden.length + 1);
-        assertEquals(Optional.empty(), QuotaMessageCodec.decode(longer));
-        assertEquals(Optional.empty(), QuotaMessageCodec.decode(sealed(longer)));
+        byte[] extended = Arrays.copyOf(golden, golden.length + 1);
+        assertEquals(Optional.empty(), QuotaMessageCodec.decode(extended));
+        assertEquals(Optional.empty(), QuotaMessageCodec.decode(withChecksum(extended)));
     }
 
     @ParameterizedTest
-    @MethodSource("names")
+    @MethodSource("messageNames")
     void messageWithOneDamagedBitIsRejected(String name) {
-        byte[] golden = golden(name);
+        byte[] golden = goldenBytes(name);
         for (int bit = 0; bit < golden.length * Byte.SIZE; bit++) {
             byte[] damaged = golden.clone();
             damaged[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
@@ -310,30 +308,31 @@
     }
 
     @Test
-    void flagsThatAKindOfEntryDoesNotDefineAreIgnored() {
-        byte[] message = withDefinedFlags(UNDEFINED_FLAGS);
-        assertFalse(Arrays.equals(golden(UNDEFINED_FLAGS), message));
-        assertEquals(Optional.of(MESSAGES.get(UNDEFINED_FLAGS)), QuotaMessageCodec.decode(message));
+    void undefinedFlagsAreIgnored() {
+        byte[] message = withDefinedFlags(UNDEFINED_FLAGS_MESSAGE);
+        assertFalse(Arrays.equals(goldenBytes(UNDEFINED_FLAGS_MESSAGE), message));
+        assertEquals(Optional.of(MESSAGES.get(UNDEFINED_FLAGS_MESSAGE)), QuotaMessageCodec.decode(message));
     }
 
     @Test
     void messageOfAnotherVersionIsRejected() {
         for (int version = Byte.MIN_VALUE; version <= Byte.MAX_VALUE; version++) {
-            byte[] other = golden("several-entries");
+            byte[] other = goldenBytes("several-entries");
             other[0] = (byte) version;
             if (version == VERSION)
-                assertTrue(QuotaMessageCodec.decode(sealed(other)).isPresent());
-            else assertEquals(Optional.empty(), QuotaMessageCodec.decode(sealed(other)), "version " + version);
+                assertTrue(QuotaMessageCodec.decode(withChecksum(other)).isPresent());
+            else assertEquals(Optional.empty(), QuotaMessageCodec.decode(withChecksum(other)), "version " + version);
         }
     }
 
     @Test
-    void messageWithAnotherCountOfEntriesIsRejected() {
+    void messageWithWrongEntryCountIsRejected() {
         for (int count = 0; count <= 0xff; count++) {
-            byte[] other = golden("several-entries");
-            other[COUNT_AT] = (byte) count;
-            if (count == 3) assertTrue(QuotaMessageCodec.decode(sealed(other)).isPresent());
-            else assertEquals(Optional.empty(), QuotaMessageCodec.decode(sealed(other)), count + " entries");
+            byte[] other = goldenBytes("several-entries");
+            other[ENTRY_COUNT_OFFSET] = (byte) count;
+            if (count == 3)
+                assertTrue(QuotaMessageCodec.decode(withChecksum(other)).isPresent());
+            else assertEquals(Optional.empty(), QuotaMessageCodec.decode(withChecksum(other)), count + " entries");
         }
     }
 }
--- a/src/test/java/caperrudder/policy/gossip/SerialArithmeticTest.java
+++ b/src/test/java/caperrudder/policy/gossip/SerialArithmeticTest.java
@@ -6,22 +6,22 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Counts and running totals that wrap around. */
+/** Comparison of serials, incarnations and running totals after they wrapped around. */
 class SerialArithmeticTest {
     @Test
-    void aRunningTotalThatWrappedAroundIsAheadByTheUnitsBetween() {
-        double wrapsAt = (1L << 31) / 16.0;
-        assertEquals(3, SerialArithmetic.unitsAhead(wrapsAt + 1, wrapsAt - 2));
+    void unitsAheadIsCorrectAfterRunningTotalWrapsAround() {
+        double wrapAroundUnits = (1L << 31) / 16.0;
+        assertEquals(3, SerialArithmetic.unitsAhead(wrapAroundUnits + 1, wrapAroundUnits - 2));
     }
 
     @Test
-    void aMessageNumberThatWrappedAroundIsTheLaterOne() {
+    void serialThatWrappedAroundIsLater() {
         assertTrue(SerialArithmetic.isAfter(2, 65_534));
         assertFalse(SerialArithmetic.isAfter(65_534, 2));
     }
 
     @Test
-    void anIncarnationThatWrappedAroundIsTheYoungerOne() {
+    void incarnationThatWrappedAroundIsNewer() {
         assertTrue(SerialArithmetic.isOlder(Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5));
         assertFalse(SerialArithmetic.isOlder(Integer.MIN_VALUE + 5, Integer.MAX_VALUE - 5));
     }
