--- a/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
@@ -6,34 +6,34 @@
 import java.util.List;
 
 /**
- * A host as this gateway sees it: what the endpoint list says, and what this gateway's own attempts have shown. Of one
- * that it has sent nothing to it holds little but the list's entry, since there may be 160,000 of them. Outside of this
- * package it is a handle: an endpoint stays the same object as long as it is listed or has outstanding attempts.
+ * A host as this gateway sees it: its entry in the endpoint list, and the results of this gateway's own attempts. There
+ * may be 160,000 endpoints, so one that has received no attempt holds little more than its entry. Other packages use it
+ * as a handle: a host has the same endpoint object as long as it is listed or has outstanding attempts.
  */
 public final class Endpoint {
-    private static final double LONG_AGO = Double.NEGATIVE_INFINITY;
+    private static final double NO_RECENT_START_MS = Double.NEGATIVE_INFINITY;
 
     private Host host;
     private boolean listed;
-    private boolean indexed; // stands among the usable endpoints of the table
+    private boolean indexed; // whether the table's indexes of usable endpoints contain it
     private int outstandingAttempts;
     private double outstandingWorkMs;
-    private double startedAtMs = LONG_AGO;
-    private double slowStartCredit; // saved up while it warms up; 1 is worth a request
-    private boolean reportsLoad;
-    private double reportedLoad; // requests held for all gateways, by its last report
-    private EndpointScores scores; // null until an attempt has scored it
+    private double startedAtMs = NO_RECENT_START_MS;
+    private double slowStartCredit; // earned in slow start; a request costs 1
+    private boolean hasReportedLoad;
+    private double reportedLoad; // requests in flight at the host, from all gateways
+    private EndpointScores scores; // null until the first score is recorded or restored
 
     Endpoint(Host host) {
         this.host = host;
     }
 
-    /** The host by the latest endpoint list or watch event. */
+    /** Returns the host as given by the latest endpoint list or watch event. */
     public Host host() {
         return host;
     }
 
-    /** The host's id, by which actions name it. */
+    /** Returns the host's id, which names it in the policy's actions. */
     public String id() {
         return host.id();
     }
@@ -50,7 +50,7 @@
         this.listed = listed;
     }
 
-    /** Whether an attempt may go there. */
+    /** Returns whether attempts may be sent to the endpoint: it is listed and its host is running. */
     boolean isUsable() {
         return listed && host.state() == HostState.RUNNING;
     }
@@ -70,7 +70,10 @@
         outstandingWorkMs += expectedWorkMs;
     }
 
-    /** Exactly no work is left once no attempt is: rounding errors do not add up. */
+    /**
+     * Subtracts the expected work of an attempt that was started. Resets the sum to exactly 0 after the last
+     * outstanding attempt, so that rounding errors do not accumulate.
+     */
     void finishAttempt(double expectedWorkMs) {
         outstandingAttempts--;
         outstandingWorkMs = outstandingAttempts == 0 ? 0 : outstandingWorkMs - expectedWorkMs;
@@ -80,25 +83,26 @@
         return outstandingAttempts == 0;
     }
 
-    /** Expected time of the outstanding attempts together, in ms. */
+    /** Returns the sum of the expected times of the outstanding attempts, in ms. */
     double outstandingWorkMs() {
         return outstandingWorkMs;
     }
 
     // ---- slow start
 
-    /** When the host last started, in ms; negative infinity where that is not known or long ago. */
+    /** Returns when the host last started, in ms; negative infinity if that is unknown or long ago. */
     double startedAtMs() {
         return startedAtMs;
     }
 
-    /** Takes in a later start: what was observed of the host before no longer counts. */
+    /** Records a later start of the host, and clears the overall penalty that was observed before it. */
     void restarted(double atMs, double initialCredit) {
         startedAtMs = atMs;
         slowStartCredit = initialCredit;
         if (scores != null) scores.clearOverallPenalty();
     }
 
+    /** Returns the credit earned in slow start, at least -1; a request costs 1. */
     double slowStartCredit() {
         return slowStartCredit;
     }
@@ -110,42 +114,46 @@
     // ---- load reports
 
     boolean hasReportedLoad() {
-        return reportsLoad;
+        return hasReportedLoad;
     }
 
-    /** Requests that the host held for all gateways when it last reported; 0 before its first report. */
+    /** Returns the requests in flight at the host, from all gateways, by its last report; 0 before the first one. */
     double reportedLoad() {
         return reportedLoad;
     }
 
     void setReportedLoad(double requests) {
         reportedLoad = requests;
-        reportsLoad = true;
+        hasReportedLoad = true;
     }
 
     // ---- outlier scores
 
-    /** The scores, created where there are none yet; the caller goes on to create the entry that it needs. */
+    /** Returns the scores. Creates them if there are none, so the caller must go on to record or restore one. */
     EndpointScores scores() {
         if (scores == null) scores = new EndpointScores();
         return scores;
     }
 
-    /** How many times slower than usual it is over all request classes: 1 is as usual, 12 the slowest believed. */
+    /**
+     * Returns how many times its expected latency the endpoint takes, over all request classes: 1 is as expected, the
+     * maximum is 12.
+     */
     public double latencyPenalty(double now) {
         return scores == null ? 1 : scores.latencyPenalty(now);
     }
 
-    /** The same for a class: the penalty over all classes times that of the class. */
+    /** Returns the penalty for a request class: the penalty over all classes times that of the class. */
     double latencyPenalty(double now, String requestClass) {
         return scores == null ? 1 : scores.latencyPenalty(now, requestClass);
     }
 
-    /** Whether nothing is known of the host beside its entry in the list. */
+    /** Returns whether the endpoint has neither scores nor outstanding attempts. */
     boolean isUntried() {
         return scores == null && outstandingAttempts == 0;
     }
 
+    /** Appends the endpoint's scores, if it has any, to {@code snapshots}. */
     void takeSnapshot(List<HealthSnapshot> snapshots) {
         if (scores != null) scores.takeSnapshot(host.id(), snapshots);
     }
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * The part of the usable endpoints' order that was last asked for. It is copied anew only where an endpoint that stands
- * in it has come or gone, since of the changes in a large fleet few concern one gateway.
+ * A contiguous range of the usable endpoints in their order, cached from the last call. It is copied again only if an
+ * endpoint inside it has become usable or unusable: in a large fleet, few changes affect the range of one gateway.
  */
 final class EndpointRange {
     private final RankedEndpoints usable;
     private final EndpointOrder order;
     private List<Endpoint> endpoints = List.of();
-    private Arc arc; // that the endpoints fill, or null where they were asked for by rank
+    private Arc arc; // of the last call; null if that was byRank
     private boolean changed;
 
     /**
-     * A part of the circular range of keys.
+     * An arc of the ring of keys.
      *
-     * @param from the first key
-     * @param to the first key beyond it
-     * @param minEndpoints of fewer in it, the next ones are taken too
+     * @param fromKey the start of the arc, inclusive
+     * @param toKey the end of the arc, exclusive
+     * @param minEndpoints if the arc contains fewer, the ones that follow it are included up to this number
      */
-    private record Arc(int from, int to, int minEndpoints) {
+    private record Arc(int fromKey, int toKey, int minEndpoints) {
         boolean contains(int key) {
-            return from < to ? key >= from && key < to : key >= from || key < to;
+            return fromKey < toKey ? key >= fromKey && key < toKey : key >= fromKey || key < toKey;
         }
     }
 
@@ -31,52 +31,60 @@
         this.order = order;
     }
 
-    /** To be notified of each host that becomes usable or ceases to be. */
+    /** Must be called for each host that becomes usable or unusable. */
     void noteChange(int key, String id) {
         changed |= contains(key, id);
     }
 
-    /** Whether a host that stands here in the order would be one of the endpoints, or stand in their arc. */
+    /** Returns whether a host with this key and id lies in the arc, or between the first and the last endpoint. */
     private boolean contains(int key, String id) {
         if (endpoints.isEmpty() || (arc != null && arc.contains(key))) return true;
         Endpoint first = endpoints.get(0);
         Endpoint last = endpoints.get(endpoints.size() - 1);
-        boolean fromFirst = order.compare(key, id, first) >= 0;
-        boolean toLast = order.compare(key, id, last) <= 0;
-        boolean wrapsRound = order.compare(order.key(first), first.id(), last) > 0;
-        return wrapsRound ? fromFirst || toLast : fromFirst && toLast;
+        boolean notBeforeFirst = order.compare(key, id, first) >= 0;
+        boolean notAfterLast = order.compare(key, id, last) <= 0;
+        boolean wrapsAround = order.compare(order.key(first), first.id(), last) > 0;
+        return wrapsAround ? notBeforeFirst || notAfterLast : notBeforeFirst && notAfterLast;
     }
 
     /**
-     * The endpoints whose keys lie in some of the equal parts of their range, counted round.
+     * Returns the endpoints whose keys lie in consecutive segments of the ring of keys, which is divided into equal
+     * segments.
      *
-     * @param part the first part, from 0 on
-     * @param parts how many parts
-     * @param of into how many parts the range is divided
-     * @param minEndpoints where fewer lie there, the next ones are taken too
-     * @return an unmodifiable list; the same one as long as it has not changed
+     * @param firstSegment the first segment, counted from 0
+     * @param segments the number of consecutive segments
+     * @param segmentCount the number of segments in the whole ring
+     * @param minEndpoints if the segments contain fewer, the ones that follow are included up to this number
+     * @return an unmodifiable list; the same instance as before if nothing has changed
      */
-    List<Endpoint> byArc(int part, int parts, int of, int minEndpoints) {
-        Arc wanted = new Arc(border(part, of), border(part + parts, of), minEndpoints);
-        if (!changed && wanted.equals(arc) && endpoints.size() >= minEndpoints) return endpoints;
-        arc = wanted;
+    List<Endpoint> byArc(int firstSegment, int segments, int segmentCount, int minEndpoints) {
+        Arc requested = new Arc(
+                segmentStart(firstSegment, segmentCount),
+                segmentStart(firstSegment + segments, segmentCount),
+                minEndpoints);
+        if (!changed && requested.equals(arc) && endpoints.size() >= minEndpoints) return endpoints;
+        arc = requested;
         int size = usable.size();
-        int first = usable.rank(arc.from);
-        int count = Math.floorMod(usable.rank(arc.to) - first, Math.max(1, size));
+        int first = usable.rank(arc.fromKey);
+        int count = Math.floorMod(usable.rank(arc.toKey) - first, Math.max(1, size));
         return select(first, Math.min(size, Math.max(minEndpoints, count)));
     }
 
-    private static int border(int part, int of) {
-        return (int) (Integer.MIN_VALUE + ((long) (part % of) << Integer.SIZE) / of);
+    private static int segmentStart(int segment, int segmentCount) {
+        return (int) (Integer.MIN_VALUE + ((long) (segment % segmentCount) << Integer.SIZE) / segmentCount);
     }
 
-    /** So many endpoints from this rank on, counted round; unmodifiable, and the same list while it has not changed. */
+    /**
+     * Returns {@code count} endpoints from a rank on, wrapping around at the end.
+     *
+     * @return an unmodifiable list; the same instance as before if nothing has changed
+     */
     List<Endpoint> byRank(int rank, int count) {
         arc = null;
-        boolean same = !changed
+        boolean unchanged = !changed
                 && count == endpoints.size()
                 && (count == 0 || endpoints.get(0) == usable.at(rank % usable.size()));
-        return same ? endpoints : select(rank, count);
+        return unchanged ? endpoints : select(rank, count);
     }
 
     private List<Endpoint> select(int rank, int count) {
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointSubset.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointSubset.java
@@ -3,52 +3,55 @@
 import java.util.List;
 
 /**
- * The endpoints that this gateway uses while they serve. Each gateway of a fleet keeps to some, in turn with the
- * others: that gives it more answers and warm connections at each, and hosts' connection tables do not fill where there
- * are hundreds of gateways. In a large fleet each gateway has an arc of a ring: a host that comes joins the subsets of
- * those alone in whose arcs it lies. Few hosts would lie there unevenly.
+ * The subset of the usable endpoints that this gateway prefers, selected by its index in the fleet. A subset gives it
+ * more responses and warm connections at each endpoint, and keeps hundreds of gateways from filling the connection
+ * tables of the hosts.
+ *
+ * <p>In a small fleet, subsets follow one another in the order of the endpoints. In a large fleet, a subset is an arc
+ * of a hash ring, so that a new host changes only the subsets whose arcs contain it. If arcs would contain few
+ * endpoints, their sizes would differ too much, and subsets are ranges of equal size at equal distances instead.
  */
 final class EndpointSubset {
-    private static final int MIN_ENDPOINTS = 8;
-    private static final int GATEWAYS_PER_ENDPOINT = 6; // at least; subsets grow where it would be fewer
-    private static final int LARGE_FLEET = 100; // gateways; in larger fleets subsets do not shift with each change
-    private static final int MIN_ARC = 64; // endpoints from which an arc holds nearly as many as any other
+    private static final int MIN_SUBSET_SIZE = 8;
+    private static final int TARGET_GATEWAYS_PER_ENDPOINT = 6;
+    private static final int MAX_SMALL_FLEET_GATEWAYS = 100; // in larger ones, a change must not shift all subsets
+    private static final int MIN_ARC_ENDPOINTS = 64; // arcs with fewer endpoints differ too much in size
 
     private final EndpointTable table;
     private final int gatewayIndex;
     private final int gatewayCount;
     private List<Endpoint> endpoints = List.of();
-    private Endpoint latestStarted; // null where the subset is empty
+    private Endpoint latestStarted; // null if the subset is empty
 
-    /** The subset of gateway {@code gatewayIndex}, from 0 on, of a fleet of {@code gatewayCount}, at least 1. */
+    /** Creates the subset of a gateway, whose index counts from 0, in a fleet of at least one gateway. */
     EndpointSubset(EndpointTable table, int gatewayIndex, int gatewayCount) {
         this.table = table;
         this.gatewayIndex = gatewayIndex;
         this.gatewayCount = gatewayCount;
     }
 
-    /** The order of endpoints that suits a fleet of so many gateways. */
+    /** Returns the order of endpoints for a fleet of {@code gatewayCount} gateways. */
     static EndpointOrder orderFor(int gatewayCount) {
         return new EndpointOrder(isLargeFleet(gatewayCount));
     }
 
     private static boolean isLargeFleet(int gatewayCount) {
-        return gatewayCount > LARGE_FLEET;
+        return gatewayCount > MAX_SMALL_FLEET_GATEWAYS;
     }
 
-    /** Chooses the endpoints anew from the table; where they are the same ones, so is the list. */
+    /** Selects the endpoints from the table. The list stays the same instance if its endpoints have not changed. */
     void refresh(boolean recomputeLatestStarted) {
-        List<Endpoint> chosen = choose();
-        if (chosen != endpoints || recomputeLatestStarted) latestStarted = latestStarted(chosen);
-        endpoints = chosen;
+        List<Endpoint> selected = select();
+        if (selected != endpoints || recomputeLatestStarted) latestStarted = latestStarted(selected);
+        endpoints = selected;
     }
 
-    private List<Endpoint> choose() {
+    private List<Endpoint> select() {
         int usable = table.usableCount();
-        int size = Math.max(MIN_ENDPOINTS, GATEWAYS_PER_ENDPOINT * usable / gatewayCount);
+        int size = Math.max(MIN_SUBSET_SIZE, TARGET_GATEWAYS_PER_ENDPOINT * usable / gatewayCount);
         boolean largeFleet = isLargeFleet(gatewayCount);
-        if (largeFleet && size >= MIN_ARC) {
-            return table.range().byArc(gatewayIndex, GATEWAYS_PER_ENDPOINT, gatewayCount, MIN_ENDPOINTS);
+        if (largeFleet && size >= MIN_ARC_ENDPOINTS) {
+            return table.range().byArc(gatewayIndex, TARGET_GATEWAYS_PER_ENDPOINT, gatewayCount, MIN_SUBSET_SIZE);
         }
         long index = gatewayIndex;
         long first = largeFleet ? index * usable / gatewayCount : index * size % Math.max(1, usable);
@@ -63,17 +66,20 @@
         return latest;
     }
 
-    /** An endpoint, of the subset or not, has started: until the next count it may be the latest one. */
+    /**
+     * Records that an endpoint has started. Until the next refresh, {@link #isWarm} takes it into account even if it is
+     * outside the subset.
+     */
     void noteStarted(Endpoint endpoint) {
         if (latestStarted == null || endpoint.startedAtMs() > latestStarted.startedAtMs()) latestStarted = endpoint;
     }
 
-    /** Unmodifiable. */
+    /** Returns the endpoints of the subset, an unmodifiable list. */
     List<Endpoint> endpoints() {
         return endpoints;
     }
 
-    /** Whether all endpoints of the subset have full capacity. */
+    /** Returns whether all endpoints of the subset have full capacity. */
     boolean isWarm(SlowStart slowStart, double now) {
         return latestStarted == null || !slowStart.isWarmingUp(latestStarted, now);
     }
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * All endpoints that are listed, or were until lately: plain data and look-ups, no decision. What a change costs
- * follows what it changes, not how many endpoints there are; only a full list, and its end, visit all.
+ * All endpoints that are listed, or were until recently, with their indexes. It takes no decisions. The cost of a
+ * change depends on how many endpoints it changes; only a full list visits all of them, when it begins and ends.
  */
 final class EndpointTable {
     private final EndpointOrder order;
@@ -20,25 +20,25 @@
     private final EndpointsByLocation usableByLocation = new EndpointsByLocation();
     private final EndpointRange range;
     private final Set<Endpoint> unlisted = new LinkedHashSet<>();
-    private int listed;
+    private int listedCount;
 
     EndpointTable(EndpointOrder order) {
         this.order = order;
         range = new EndpointRange(usable, order);
     }
 
-    /** The endpoint of this host id, be it listed or not; null where there is none. */
+    /** Returns the endpoint with this host id, which may be unlisted; null if there is none. */
     Endpoint find(String hostId) {
         return all.find(order.key(hostId), hostId);
     }
 
-    /** From here to {@link #endFullList} each endpoint counts as unlisted until it is put. */
+    /** Begins a full list: marks all endpoints as unlisted. Those that the list contains must then be {@link #put}. */
     void beginFullList() {
         all.forEach(endpoint -> endpoint.setListed(false));
-        listed = 0;
+        listedCount = 0;
     }
 
-    /** Takes in the latest entry of a host; the last one of several counts. */
+    /** Adds or updates the endpoint of a host, and returns it. Of several entries for a host, the last one counts. */
     Endpoint put(Host host) {
         int key = order.key(host.id());
         Endpoint endpoint = all.find(key, host.id());
@@ -46,16 +46,17 @@
             endpoint = new Endpoint(host);
             all.add(key, endpoint);
         }
-        boolean moves = endpoint.isIndexed() && !DeduplicationScope.CELL.isSharedBy(endpoint.host(), host);
-        if (moves) removeFromIndex(key, endpoint); // while its old zone and cell are known
+        boolean relocated = endpoint.isIndexed() && !DeduplicationScope.CELL.isSharedBy(endpoint.host(), host);
+        if (relocated) removeFromIndex(key, endpoint); // needs the old zone and cell
         endpoint.updateHost(host);
         boolean nowListed = host.state() != HostState.GONE;
-        listed += (nowListed ? 1 : 0) - (endpoint.isListed() ? 1 : 0);
+        listedCount += (nowListed ? 1 : 0) - (endpoint.isListed() ? 1 : 0);
         endpoint.setListed(nowListed);
         updateIndex(endpoint);
         return endpoint;
     }
 
+    /** Ends a full list: removes the endpoints that it did not contain from the indexes of usable endpoints. */
     void endFullList() {
         all.forEach(this::updateIndex);
     }
@@ -83,7 +84,7 @@
         usableByLocation.remove(key, endpoint);
     }
 
-    /** Forgets the endpoints that are no longer listed and have no outstanding attempt. */
+    /** Removes the unlisted endpoints without outstanding attempts, and passes each to {@code onRemoval}. */
     void removeUnlisted(Consumer<Endpoint> onRemoval) {
         unlisted.removeIf(endpoint -> {
             if (!endpoint.isIdle()) return false;
@@ -93,32 +94,32 @@
         });
     }
 
-    /** Endpoints in the list, whatever their state. */
+    /** Returns the number of listed endpoints, whatever their state. */
     int listedCount() {
-        return listed;
+        return listedCount;
     }
 
-    /** Endpoints that may be used. */
+    /** Returns the number of endpoints to which attempts may be sent. */
     int usableCount() {
         return usable.size();
     }
 
-    /** Endpoints in the list that may not be used, since they are draining. */
+    /** Returns the number of listed endpoints that are not usable because they are draining. */
     int unusableCount() {
-        return listed - usable.size();
+        return listedCount - usable.size();
     }
 
-    /** A part of the usable endpoints' order, to be asked for the part that this gateway uses. */
+    /** Returns the range of usable endpoints from which this gateway's subset is taken. */
     EndpointRange range() {
         return range;
     }
 
-    /** All usable endpoints, as one part. */
+    /** Returns all usable endpoints, as a single list. */
     Collection<RankedEndpoints> usable() {
         return List.of(usable);
     }
 
-    /** The usable endpoints that drop repeats of the same idempotency keys as this host, in parts. */
+    /** Returns the usable endpoints that share this host's memory of idempotency keys, as one or more lists. */
     Collection<RankedEndpoints> usableSharing(DeduplicationScope scope, Host host) {
         return switch (scope) {
             case ALL -> usable();
@@ -127,7 +128,7 @@
         };
     }
 
-    /** See {@link RankedEndpoints#visited}. */
+    /** Returns the number of endpoints visited so far, see {@link RankedEndpoints#visited}. */
     long visited() {
         return all.visited() + usable.visited() + usableByLocation.visited();
     }
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointsByLocation.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointsByLocation.java
@@ -6,40 +6,40 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Usable endpoints by zone and, within a zone, by cell: the hosts that drop repeats of one idempotency key. */
+/** An index of the usable endpoints by zone and cell, the scopes in which hosts share a memory of idempotency keys. */
 final class EndpointsByLocation {
-    private final Map<String, Map<Integer, RankedEndpoints>> zones = new TreeMap<>();
+    private final Map<String, Map<Integer, RankedEndpoints>> byZone = new TreeMap<>();
 
     void add(int key, Endpoint endpoint) {
-        zones.computeIfAbsent(endpoint.host().zone(), zone -> new TreeMap<>())
+        byZone.computeIfAbsent(endpoint.host().zone(), zone -> new TreeMap<>())
                 .computeIfAbsent(endpoint.host().cell(), cell -> new RankedEndpoints())
                 .add(key, endpoint);
     }
 
-    /** Drops an endpoint that was added while its host stood in the same zone and cell. */
+    /** Removes an endpoint, whose host must be in the zone and cell with which it was added. */
     void remove(int key, Endpoint endpoint) {
         Host host = endpoint.host();
-        Map<Integer, RankedEndpoints> cells = zones.get(host.zone());
+        Map<Integer, RankedEndpoints> cells = byZone.get(host.zone());
         RankedEndpoints cell = cells.get(host.cell());
         cell.remove(key, endpoint);
         if (cell.size() == 0) cells.remove(host.cell());
-        if (cells.isEmpty()) zones.remove(host.zone());
+        if (cells.isEmpty()) byZone.remove(host.zone());
     }
 
-    /** The endpoints of a host's zone, a part for each cell. */
+    /** Returns the endpoints of a host's zone, one list for each cell. */
     Collection<RankedEndpoints> inZoneOf(Host host) {
-        return zones.getOrDefault(host.zone(), Map.of()).values();
+        return byZone.getOrDefault(host.zone(), Map.of()).values();
     }
 
-    /** The endpoints of a host's cell; no part where there is none. */
+    /** Returns the endpoints of a host's cell, in at most one list. */
     Collection<RankedEndpoints> inCellOf(Host host) {
-        RankedEndpoints cell = zones.getOrDefault(host.zone(), Map.of()).get(host.cell());
+        RankedEndpoints cell = byZone.getOrDefault(host.zone(), Map.of()).get(host.cell());
         return cell == null ? List.of() : List.of(cell);
     }
 
-    /** See {@link RankedEndpoints#visited}. */
+    /** Returns the number of endpoints visited so far in the lists that exist now. */
     long visited() {
-        return zones.values().stream()
+        return byZone.values().stream()
                 .flatMap(cells -> cells.values().stream())
                 .mapToLong(RankedEndpoints::visited)
                 .sum();
--- a/src/main/java/caperrudder/policy/loadbalancing/RankedEndpoints.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/RankedEndpoints.java
@@ -7,45 +7,45 @@
 import java.util.function.Consumer;
 
 /**
- * Endpoints in the order of a key and, where keys are equal, of their host ids: an order-statistics list. It is kept in
- * blocks, so that one more or less moves the endpoints of one block, and an endpoint is found by its id or by its rank
- * in the logarithm of their number. Its keys stand in arrays of ints, which costs some 12 bytes an endpoint.
+ * A list of endpoints sorted by a key and then by host id, with access by rank. It is stored in blocks, so that adding
+ * or removing an endpoint moves only those of one block. Look-ups by id or by rank take logarithmic time. Keys are
+ * stored in arrays of ints, so that the list takes about 12 bytes per endpoint.
  */
 final class RankedEndpoints {
-    private static final int BLOCK_SIZE = 256; // endpoints, at which a block is split
-    private static final int INITIAL_BLOCK_SIZE = 4; // of the first block: most cells hold few endpoints
+    private static final int BLOCK_CAPACITY = 256; // a block is split when it is full
+    private static final int INITIAL_BLOCK_CAPACITY = 4; // small, since most cells have few endpoints
 
-    private Block[] blocks = {new Block(INITIAL_BLOCK_SIZE)};
-    private int[] firstKeys = new int[1]; // of each block: its first endpoint's key
-    private int[] firstRanks = new int[1]; // of each block: how many endpoints stand in those before it
+    private Block[] blocks = {new Block(INITIAL_BLOCK_CAPACITY)};
+    private int[] firstKeys = new int[1]; // the key of each block's first endpoint
+    private int[] firstRanks = new int[1]; // the rank of each block's first endpoint
     private int blockCount = 1;
     private int size;
     private long visited;
 
-    /** A run of the order, in arrays that grow up to {@link #BLOCK_SIZE}. */
+    /** Consecutive endpoints of the list, in arrays that grow up to {@link #BLOCK_CAPACITY}. */
     private static final class Block {
         private int[] keys;
         private Endpoint[] endpoints;
         private int size;
 
-        Block(int initialSize) {
-            keys = new int[initialSize];
-            endpoints = new Endpoint[initialSize];
+        Block(int capacity) {
+            keys = new int[capacity];
+            endpoints = new Endpoint[capacity];
         }
 
         private boolean isBefore(int i, int key, String id) {
             return keys[i] < key || (keys[i] == key && endpoints[i].id().compareTo(id) < 0);
         }
 
-        private boolean holds(int i, int key, String id) {
+        private boolean contains(int i, int key, String id) {
             return i < size && keys[i] == key && endpoints[i].id().equals(id);
         }
 
         private void insert(int i, int key, Endpoint endpoint) {
             if (size == keys.length) {
-                int length = Math.min(BLOCK_SIZE, 2 * size);
-                keys = Arrays.copyOf(keys, length);
-                endpoints = Arrays.copyOf(endpoints, length);
+                int capacity = Math.min(BLOCK_CAPACITY, 2 * size);
+                keys = Arrays.copyOf(keys, capacity);
+                endpoints = Arrays.copyOf(endpoints, capacity);
             }
             System.arraycopy(keys, i, keys, i + 1, size - i);
             System.arraycopy(endpoints, i, endpoints, i + 1, size - i);
@@ -61,10 +61,10 @@
             endpoints[size] = null;
         }
 
-        /** Moves its upper half to a new block. */
+        /** Moves the upper half of the endpoints to a new block, and returns that block. */
         private Block split() {
             int half = size / 2;
-            Block upper = new Block(BLOCK_SIZE);
+            Block upper = new Block(BLOCK_CAPACITY);
             upper.size = size - half;
             System.arraycopy(keys, half, upper.keys, 0, upper.size);
             System.arraycopy(endpoints, half, upper.endpoints, 0, upper.size);
@@ -78,27 +78,27 @@
         return size;
     }
 
-    /** Endpoints compared, copied or visited up to now: what the look-ups cost. */
+    /** Returns the number of endpoints compared, copied or iterated over so far, a measure of the cost of look-ups. */
     long visited() {
         return visited;
     }
 
-    /** The endpoint of this host id, or null. */
+    /** Returns the endpoint with this key and host id, or null if there is none. */
     Endpoint find(int key, String id) {
         Block block = blocks[blockOf(key, id)];
-        int i = placeIn(block, key, id);
-        return block.holds(i, key, id) ? block.endpoints[i] : null;
+        int i = positionIn(block, key, id);
+        return block.contains(i, key, id) ? block.endpoints[i] : null;
     }
 
-    /** Takes in an endpoint whose host id is not in the list yet. */
+    /** Adds an endpoint. The list must not contain one with the same host id. */
     void add(int key, Endpoint endpoint) {
         int at = blockOf(key, endpoint.id());
         Block block = blocks[at];
-        block.insert(placeIn(block, key, endpoint.id()), key, endpoint);
+        block.insert(positionIn(block, key, endpoint.id()), key, endpoint);
         firstKeys[at] = block.keys[0];
-        moveRanksFrom(at + 1, 1);
+        addToFirstRanks(at + 1, 1);
         size++;
-        if (block.size == BLOCK_SIZE) split(at);
+        if (block.size == BLOCK_CAPACITY) split(at);
     }
 
     private void split(int at) {
@@ -115,14 +115,14 @@
         firstRanks[at + 1] = firstRanks[at] + blocks[at].size;
     }
 
-    /** Drops the endpoint of this one's host id, if it is in the list. */
+    /** Removes an endpoint; does nothing if the list does not contain this object. */
     void remove(int key, Endpoint endpoint) {
         int at = blockOf(key, endpoint.id());
         Block block = blocks[at];
-        int i = placeIn(block, key, endpoint.id());
+        int i = positionIn(block, key, endpoint.id());
         if (i == block.size || block.endpoints[i] != endpoint) return;
         block.delete(i);
-        moveRanksFrom(at + 1, -1);
+        addToFirstRanks(at + 1, -1);
         size--;
         if (block.size > 0) firstKeys[at] = block.keys[0];
         if (block.size > 0 || blockCount == 1) return;
@@ -130,45 +130,45 @@
         blocks[--blockCount] = null;
     }
 
-    /** How many endpoints have a smaller key. */
+    /** Returns the number of endpoints with a smaller key. */
     int rank(int key) {
-        int at = blockOf(key, ""); // no id is less
-        return firstRanks[at] + placeIn(blocks[at], key, "");
+        int at = blockOf(key, ""); // "" precedes all ids
+        return firstRanks[at] + positionIn(blocks[at], key, "");
     }
 
-    /** The endpoint of this rank, from 0 to one less than {@link #size}. */
+    /** Returns the endpoint with this rank, from 0 to {@link #size} - 1. */
     Endpoint at(int rank) {
         int at = blockAt(rank);
         visited++;
         return blocks[at].endpoints[rank - firstRanks[at]];
     }
 
-    /** Adds the endpoints from this rank on to a list: {@code count} in all, or up to the last. */
-    void copy(int rank, int count, List<Endpoint> to) {
+    /** Appends up to {@code count} endpoints, from this rank on, to {@code target}. */
+    void copy(int rank, int count, List<Endpoint> target) {
         int at = blockAt(rank);
-        int left = count;
-        for (int i = rank - firstRanks[at]; left > 0 && at < blockCount; at++, i = 0) {
+        int remaining = count;
+        for (int i = rank - firstRanks[at]; remaining > 0 && at < blockCount; at++, i = 0) {
             Block block = blocks[at];
-            for (; i < block.size && left > 0; i++, left--) to.add(block.endpoints[i]);
+            for (; i < block.size && remaining > 0; i++, remaining--) target.add(block.endpoints[i]);
         }
-        visited += count - left;
+        visited += count - remaining;
     }
 
-    /** So many endpoints from this rank on in several lists that count as one, counted round. */
-    static List<Endpoint> copyCircular(Collection<RankedEndpoints> parts, int rank, int count) {
+    /** Returns {@code count} endpoints from a rank on of the concatenated lists, wrapping around at the end. */
+    static List<Endpoint> copyCircular(Collection<RankedEndpoints> lists, int rank, int count) {
         List<Endpoint> endpoints = new ArrayList<>(count);
-        copy(parts, rank, count, endpoints);
-        copy(parts, 0, count - endpoints.size(), endpoints);
+        copy(lists, rank, count, endpoints);
+        copy(lists, 0, count - endpoints.size(), endpoints);
         return endpoints;
     }
 
-    private static void copy(Collection<RankedEndpoints> parts, int rank, int count, List<Endpoint> to) {
+    private static void copy(Collection<RankedEndpoints> lists, int rank, int count, List<Endpoint> target) {
         int skip = rank;
-        int end = to.size() + count;
-        for (RankedEndpoints part : parts) {
-            if (to.size() == end) return;
-            if (skip < part.size()) part.copy(skip, end - to.size(), to);
-            skip = Math.max(0, skip - part.size());
+        int finalSize = target.size() + count;
+        for (RankedEndpoints list : lists) {
+            if (target.size() == finalSize) return;
+            if (skip < list.size()) list.copy(skip, finalSize - target.size(), target);
+            skip = Math.max(0, skip - list.size());
         }
     }
 
@@ -179,12 +179,13 @@
         visited += size;
     }
 
+    /** Returns the index of the block that contains the endpoint with this rank. */
     private int blockAt(int rank) {
         int at = Arrays.binarySearch(firstRanks, 0, blockCount, rank);
         return at < 0 ? -at - 2 : at;
     }
 
-    /** The last block that begins with this host id or one before it, or the first block. */
+    /** Returns the index of the last block that starts at or before this key and id, or 0 if there is none. */
     private int blockOf(int key, String id) {
         int low = 0;
         int high = blockCount - 1;
@@ -200,7 +201,8 @@
         return low;
     }
 
-    private int placeIn(Block block, int key, String id) {
+    /** Returns the index in the block at which this key and id are, or would be inserted. */
+    private int positionIn(Block block, int key, String id) {
         int low = 0;
         int high = block.size;
         while (low < high) {
@@ -212,8 +214,8 @@
         return low;
     }
 
-    private void moveRanksFrom(int at, int by) {
-        for (int i = at; i < blockCount; i++) firstRanks[i] += by;
+    private void addToFirstRanks(int firstBlock, int delta) {
+        for (int i = firstBlock; i < blockCount; i++) firstRanks[i] += delta;
     }
 
     private void shiftBlocks(int from, int to) {
