--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
@@ -8,19 +8,22 @@
 import java.util.Random;
 
 /**
- * Picks the endpoint for an attempt: the best of a few that are sampled from the subset by what each can do. The best
- * by the few own counts of one of many gateways would be the best of all gateways at once, so as many are sampled as
- * this gateway's outstanding attempts can tell apart; where that is the whole subset, all are compared.
+ * Picks the endpoint for an attempt: the one with the best score in a random sample of the subset. Scores depend on the
+ * outstanding work of this gateway alone. In a large fleet that is mostly 0, and gateways that compared their whole
+ * subsets would all send to the same endpoints. The sample size therefore grows with the number of outstanding
+ * attempts, up to the whole subset.
  */
 final class EndpointPicker {
-    private static final int MIN_SAMPLE = 2;
-    private static final int SAMPLED_PER_ATTEMPT = 2; // endpoints more in a sample for each outstanding attempt
-    private static final int DRAWS_PER_SAMPLE = 16; // draws for each endpoint of a sample before it stays smaller
-    private static final int MAX_COMPARED = 1024; // endpoints compared at most where none of the subset may be used
-    private static final double SUSPECT_PENALTY = 2.2; // latency penalty from which it is worse than chance makes it
-    private static final double RETRY_PENALTY = OutlierScore.EJECTION_PENALTY; // for each attempt that was there before
-    private static final double CROSS_ZONE_COST = 0.05; // as share of the score of an idle endpoint
-    private static final double TIE_BREAK = 1e-3; // share of the score that is drawn
+    private static final int MIN_SAMPLE_SIZE = 2;
+    private static final int SAMPLED_PER_OUTSTANDING_ATTEMPT = 2;
+    private static final int MAX_DRAWS_PER_SAMPLED_ENDPOINT = 16; // most draws may be rejected
+    private static final int MAX_FALLBACK_CANDIDATES = 1024; // compared if none of the subset can be used
+    private static final double SIGNIFICANT_LATENCY_PENALTY = 2.2; // lower ones may be random variation
+    /** Multiplies an endpoint's score for each earlier attempt of the request on it. */
+    private static final double RETRY_PENALTY_FACTOR = OutlierScore.EJECTION_PENALTY;
+
+    private static final double CROSS_ZONE_COST_RATIO = 0.05; // of a request's expected work
+    private static final double MAX_TIE_BREAK_RATIO = 1e-3; // largest random increase of a score
 
     private final EndpointTable table;
     private final EndpointSubset subset;
@@ -30,7 +33,7 @@
     private final Random random;
     private int outstandingAttempts;
 
-    /** {@code zone} is this gateway's; {@code random} is shared with the whole policy. */
+    /** {@code zone} is the zone of this gateway; {@code random} is shared by the whole policy. */
     EndpointPicker(
             EndpointTable table,
             EndpointSubset subset,
@@ -46,45 +49,48 @@
         this.random = random;
     }
 
-    /** An attempt of this gateway begins to work on an endpoint. */
+    /** Records the start of an attempt on an endpoint. */
     void startAttempt(Endpoint endpoint, double expectedWorkMs) {
         endpoint.startAttempt(expectedWorkMs);
         outstandingAttempts++;
     }
 
-    /** The counterpart of {@link #startAttempt}, with the same expected time. */
+    /** Records the end of an attempt; {@code expectedWorkMs} must be that of {@link #startAttempt}. */
     void finishAttempt(Endpoint endpoint, double expectedWorkMs) {
         outstandingAttempts--;
         endpoint.finishAttempt(expectedWorkMs);
     }
 
-    /** The endpoint for the next attempt, or null where none may be used now. */
+    /** Returns the endpoint for the next attempt, or null if none can be used now. */
     Endpoint pick(double now, PlacementRequest request) {
         Endpoint best = best(now, request, comparesWholeSubset() ? subset.endpoints() : sample(now, request), false);
         boolean warm = subset.isWarm(slowStart, now);
-        if (warm) random.nextDouble(); // the draw that no endpoint in slow start would win
+        if (warm) random.nextDouble(); // replaces the draw of drawSlowStart
         Endpoint warmingUp = warm ? null : drawSlowStart(now, request);
         if (warmingUp != null && (best == null || warmingUp.isIdle())) return warmingUp;
         if (best != null) return best;
-        best = best(now, request, beyondSubset(request), true);
+        best = best(now, request, fallbackCandidates(request), true);
         if (best != null) slowStart.chargeRequest(best);
         return best;
     }
 
     private int sampleSize() {
-        return MIN_SAMPLE + SAMPLED_PER_ATTEMPT * outstandingAttempts;
+        return MIN_SAMPLE_SIZE + SAMPLED_PER_OUTSTANDING_ATTEMPT * outstandingAttempts;
     }
 
     private boolean comparesWholeSubset() {
         return sampleSize() >= subset.endpoints().size();
     }
 
-    /** Endpoints drawn evenly from the subset and kept by chance, the less likely the greater their latency penalty. */
+    /**
+     * Draws endpoints evenly from the subset, and accepts each with a probability of 1 / latency penalty. Returns fewer
+     * than the sample size if too few are accepted.
+     */
     private Collection<Endpoint> sample(double now, PlacementRequest request) {
         List<Endpoint> endpoints = subset.endpoints();
         int size = Math.min(endpoints.size(), sampleSize());
         LinkedHashSet<Endpoint> sample = new LinkedHashSet<>();
-        for (int i = 0; i < size * DRAWS_PER_SAMPLE && sample.size() < size; i++) {
+        for (int i = 0; i < size * MAX_DRAWS_PER_SAMPLED_ENDPOINT && sample.size() < size; i++) {
             Endpoint endpoint = endpoints.get(random.nextInt(endpoints.size()));
             double penalty = endpoint.latencyPenalty(now, request.className());
             if (random.nextDouble() * penalty <= 1) sample.add(endpoint);
@@ -92,24 +98,28 @@
         return sample;
     }
 
-    /** All endpoints; of very many some from a drawn one on, among those that drop repeats of an uncertain attempt. */
-    private List<Endpoint> beyondSubset(PlacementRequest request) {
-        boolean narrows = table.usableCount() > MAX_COMPARED
+    /**
+     * Returns the candidates for a request that no endpoint of the subset can take: all usable endpoints or, if there
+     * are too many, a limited number from a random one on. In the latter case, a retry with an idempotency key gets its
+     * candidates only from the endpoints that drop repeats of the key.
+     */
+    private List<Endpoint> fallbackCandidates(PlacementRequest request) {
+        boolean limitsToScope = table.usableCount() > MAX_FALLBACK_CANDIDATES
                 && request.requestClass().idempotency() == Idempotency.IDEMPOTENCY_KEY;
-        Host mayHaveRunOn = narrows ? request.mayHaveRunOn() : null;
-        Collection<RankedEndpoints> parts = mayHaveRunOn == null
+        Host mayHaveRunOn = limitsToScope ? request.mayHaveRunOn() : null;
+        Collection<RankedEndpoints> lists = mayHaveRunOn == null
                 ? table.usable()
                 : table.usableSharing(request.requestClass().deduplicationScope(), mayHaveRunOn);
         int count = 0;
-        for (RankedEndpoints part : parts) count += part.size();
-        int first = count > MAX_COMPARED ? random.nextInt(count) : 0;
-        return RankedEndpoints.copyCircular(parts, first, Math.min(MAX_COMPARED, count));
+        for (RankedEndpoints list : lists) count += list.size();
+        int first = count > MAX_FALLBACK_CANDIDATES ? random.nextInt(count) : 0;
+        return RankedEndpoints.copyCircular(lists, first, Math.min(MAX_FALLBACK_CANDIDATES, count));
     }
 
     /**
-     * An endpoint in slow start that has earned a request, or null. One of the subset is drawn by what each can do; an
-     * endpoint in slow start is credited for being drawn. Its own counts tell a gateway of many nothing of how full
-     * the warm endpoints are: by score alone those in slow start would stay idle.
+     * Draws an endpoint of the subset by weight, and credits it if it is in slow start. Returns it if it has then
+     * earned a request, otherwise null. Scores alone would leave endpoints in slow start idle, because in a large fleet
+     * this gateway's own attempts do not show how loaded the warm endpoints are.
      */
     private Endpoint drawSlowStart(double now, PlacementRequest request) {
         Endpoint drawn = drawByWeight(now, request.className());
@@ -122,16 +132,16 @@
         double total = endpoints.stream()
                 .mapToDouble(endpoint -> weight(now, endpoint, className))
                 .sum();
-        double left = random.nextDouble() * total;
+        double remaining = random.nextDouble() * total;
         for (Endpoint endpoint : endpoints) {
-            left -= weight(now, endpoint, className);
-            if (left > 0) continue;
+            remaining -= weight(now, endpoint, className);
+            if (remaining > 0) continue;
             return endpoint;
         }
-        return null; // rounding has left a trace of the total
+        return null; // the subset is empty, or rounding errors left a remainder
     }
 
-    /** What an endpoint can do for a class, as a share of a warm healthy one with the mean load. */
+    /** Returns an endpoint's weight for a class: 1 for a warm healthy endpoint with the mean load. */
     private double weight(double now, Endpoint endpoint, String className) {
         if (!endpoint.isUsable()) return 0;
         double penalty = Math.max(1, endpoint.latencyPenalty(now, className));
@@ -139,38 +149,42 @@
     }
 
     /**
-     * The usable endpoint with the least score among some, or null. One in slow start has its requests by credit; it
-     * takes part only where {@code slowStartToo} says so, as seldom as its allowance requires.
+     * Returns the usable candidate with the lowest score, or null if there is none. Endpoints in slow start get their
+     * requests by credit and are skipped here. With {@code includeSlowStart} each takes part with a probability of its
+     * allowed share / the number of candidates.
      */
-    private Endpoint best(double now, PlacementRequest request, Collection<Endpoint> among, boolean slowStartToo) {
+    private Endpoint best(double now, PlacementRequest request, Collection<Endpoint> candidates, boolean includeSlowStart) {
         Endpoint best = null;
         double bestScore = Double.MAX_VALUE;
-        for (Endpoint endpoint : among) {
+        for (Endpoint endpoint : candidates) {
             if (!endpoint.isUsable() || !request.allows(endpoint)) continue;
-            if (slowStart.isWarmingUp(endpoint, now) && (!slowStartToo || !drawsAllowance(now, endpoint, among.size())))
+            if (slowStart.isWarmingUp(endpoint, now) && (!includeSlowStart || !drawInclusion(now, endpoint, candidates.size())))
                 continue;
-            double score = score(now, request, endpoint) * (1 + TIE_BREAK * random.nextDouble());
+            double score = score(now, request, endpoint) * (1 + MAX_TIE_BREAK_RATIO * random.nextDouble());
             if (score < bestScore) best = endpoint;
             bestScore = Math.min(bestScore, score);
         }
         return best;
     }
 
-    private boolean drawsAllowance(double now, Endpoint endpoint, int candidates) {
-        return random.nextDouble() * candidates <= slowStart.allowedShare(endpoint, now);
+    private boolean drawInclusion(double now, Endpoint endpoint, int candidateCount) {
+        return random.nextDouble() * candidateCount <= slowStart.allowedShare(endpoint, now);
     }
 
-    /** The time in ms that the request would take with what is outstanding there, made worse by what speaks against. */
+    /**
+     * Returns the time in ms that the request would take after the endpoint's outstanding work. Latency penalty,
+     * earlier attempts of the request there, slow start and crossing zones increase it.
+     */
     private double score(double now, PlacementRequest request, Endpoint endpoint) {
         boolean wholeSubset = comparesWholeSubset();
         double penalty = endpoint.latencyPenalty(now, request.className());
-        if (!wholeSubset && penalty < SUSPECT_PENALTY) penalty = 1; // the sample was drawn by it already
+        if (!wholeSubset && penalty < SIGNIFICANT_LATENCY_PENALTY) penalty = 1; // sample() took it into account
         for (Endpoint attempted : request.attempted()) {
-            if (attempted == endpoint) penalty *= RETRY_PENALTY;
+            if (attempted == endpoint) penalty *= RETRY_PENALTY_FACTOR;
         }
-        double work = request.expectedWorkMs();
-        // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double crossing = !wholeSubset || endpoint.host().zone().equals(zone) ? 0 : CROSS_ZONE_COST * work;
-        return (work + endpoint.outstandingWorkMs()) * penalty / slowStart.capacity(endpoint, now) + crossing;
+        double workMs = request.expectedWorkMs();
+        // Prefers this gateway's zone only if its own attempts show the load there, so as not to overload the zone.
+        double crossZoneMs = !wholeSubset || endpoint.host().zone().equals(zone) ? 0 : CROSS_ZONE_COST_RATIO * workMs;
+        return (workMs + endpoint.outstandingWorkMs()) * penalty / slowStart.capacity(endpoint, now) + crossZoneMs;
     }
 }
--- a/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
@@ -11,14 +11,17 @@
 import java.util.Random;
 
 /**
- * Chooses the endpoint of each attempt, from what the endpoint list says and what this gateway's attempts have shown.
- * All times are milliseconds of the clock of the policy's events. For the thread that runs the policy alone.
+ * Chooses the endpoint of each attempt by the endpoint list and the results of this gateway's own attempts. All times
+ * are in milliseconds of the clock of the policy's events. Not thread-safe: only the policy's thread may use it.
  */
 public final class LoadBalancer {
-    private static final double REFRESH_MS = 500; // how often capacity is counted and the subset chosen anew
-    private static final int SMALL_CHANGE = 1024; // usable endpoints for each changed one: capacity need not be counted
-    private static final double OVERDUE_MULTIPLE = 5; // an attempt is overdue after so many times its expected time
-    private static final double OVERDUE_MIN_MS = 400; // and so much more
+    private static final double REFRESH_INTERVAL_MS = 500;
+
+    /** A change of fewer hosts than usable endpoints / this divisor does not recompute the capacity. */
+    private static final int SMALL_CHANGE_DIVISOR = 1024;
+
+    private static final double OVERDUE_LATENCY_MULTIPLE = 5;
+    private static final double OVERDUE_MARGIN_MS = 400;
 
     private final EndpointTable table;
     private final EndpointSubset subset;
@@ -27,10 +30,10 @@
     private final OutlierDetector outliers;
     private final EndpointPicker picker;
     private final Random random;
-    private double refreshedAt;
-    private double missingCapacity; // that endpoints in slow start and ejected ones lack, as last counted
+    private double refreshedAtMs;
+    private double missingCapacity; // of endpoints in slow start and ejected ones, at the last refresh
 
-    /** {@code random} is shared with the whole policy, so that one seed gives one sequence of decisions. */
+    /** {@code random} is shared by the whole policy, so that a seed always gives the same sequence of decisions. */
     public LoadBalancer(double now, Settings settings, Random random) {
         this.random = random;
         int gatewayCount = Math.max(1, settings.gatewayCount());
@@ -40,122 +43,123 @@
         loadReports = new LoadReports(settings.loadReportFields(), slowStart);
         outliers = new OutlierDetector(settings.classes());
         picker = new EndpointPicker(table, subset, slowStart, loadReports, settings.zone(), random);
-        refreshedAt = now;
+        refreshedAtMs = now;
     }
 
     // ---- endpoints
 
     /**
-     * Takes in an endpoint list or a watch event (PROTOCOL, Discovery).
+     * Applies an endpoint list or a watch event (PROTOCOL, Discovery).
      *
-     * @param kind changes, or a list of all hosts; a failed call is not for this method
+     * @param kind whether {@code hosts} are changes or the full list; must not be {@link HostListKind#FAILED}
      */
     public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
         boolean changesOnly = kind == HostListKind.CHANGES;
         if (!changesOnly) table.beginFullList();
         for (Host host : hosts) update(now, host);
         if (!changesOnly) table.endFullList();
-        // In a large cluster a few endpoints more or less in slow start may wait for the next refresh.
-        if (changesOnly && hosts.size() < table.usableCount() / SMALL_CHANGE) refreshSubset(now);
+        // After a small change, the missing capacity may stay inexact until the next refresh.
+        if (changesOnly && hosts.size() < table.usableCount() / SMALL_CHANGE_DIVISOR) refreshSubset(now);
         else refresh(now);
     }
 
     private void update(double now, Host host) {
         Endpoint endpoint = table.put(host);
         if (host.startedMs() <= 0 || host.startedMs() <= endpoint.startedAtMs()) return;
-        double initialCredit = random.nextDouble(); // or all gateways' first requests would come together
+        double initialCredit = random.nextDouble(); // spreads the gateways' first requests over time
         endpoint.restarted(host.startedMs(), initialCredit);
         if (slowStart.isWarmingUp(endpoint, now)) outliers.observe(endpoint);
         subset.noteStarted(endpoint);
     }
 
-    /** To be called on each tick. */
+    /** Recomputes the capacity and the subset if the refresh interval has passed. Must be called on each tick. */
     public void refreshIfDue(double now) {
-        if (now - refreshedAt >= REFRESH_MS) refresh(now);
+        if (now - refreshedAtMs >= REFRESH_INTERVAL_MS) refresh(now);
     }
 
     private void refresh(double now) {
-        refreshedAt = now;
+        refreshedAtMs = now;
         outliers.forgetIf(endpoint -> endpoint.isUntried() && !slowStart.isWarmingUp(endpoint, now));
         missingCapacity = outliers.missingCapacity(now, slowStart);
         refreshSubset(now);
     }
 
     private void refreshSubset(double now) {
-        subset.refresh(refreshedAt == now);
+        subset.refresh(refreshedAtMs == now);
     }
 
-    /** Forgets the endpoints that are no longer listed and have no outstanding attempt. */
+    /** Removes the endpoints that are no longer listed and have no outstanding attempts. */
     public void removeUnlisted() {
         table.removeUnlisted(outliers::forget);
     }
 
-    /** What all usable endpoints can do together, in warm healthy endpoints. */
+    /** Returns the capacity of all usable endpoints together, as a number of warm healthy endpoints. */
     public double capacity() {
         return table.usableCount() - missingCapacity;
     }
 
-    /** The listed endpoints, and how many of them this gateway avoids, by the list or by its own observation. */
+    /** Returns the number of listed endpoints, and how many of them are draining or ejected. */
     public ClusterHealth clusterHealth(double now) {
         return new ClusterHealth(table.listedCount(), table.unusableCount() + outliers.ejectedCount(now));
     }
 
     // ---- attempts
 
-    /**
-     * The endpoint for a request's next attempt; null where none may be used now. Takes the same number of draws from
-     * the random sequence whether an attempt is harmless or not.
-     */
+    /** Returns the endpoint for a request's next attempt, or null if none can be used now. */
     public Endpoint pick(double now, PlacementRequest request) {
         return picker.pick(now, request);
     }
 
-    /** An attempt is sent to an endpoint; it works there from {@link #attemptStarted} on. */
+    /** Records that an attempt is sent to an endpoint, which works on it from {@link #attemptStarted} on. */
     public void attemptSent(Endpoint endpoint) {
         outliers.observe(endpoint);
     }
 
-    /** An attempt, complete with its request, begins to work. */
+    /** Records that an endpoint has received the whole request of an attempt and works on it. */
     public void attemptStarted(Endpoint endpoint, double expectedWorkMs) {
         picker.startAttempt(endpoint, expectedWorkMs);
     }
 
-    /** An attempt that was started has ended or has begun to respond; {@code expectedWorkMs} is that of its start. */
+    /**
+     * Records that a started attempt has ended or its response has begun.
+     *
+     * @param expectedWorkMs must be that of {@link #attemptStarted}
+     */
     public void attemptFinished(Endpoint endpoint, double expectedWorkMs) {
         picker.finishAttempt(endpoint, expectedWorkMs);
     }
 
-    /** Learns from how an attempt ended and from the load report that came with it. */
+    /** Updates the scores and reported load of an endpoint with the result of an attempt. */
     public void recordResult(
             double now, Endpoint endpoint, RequestClass requestClass, double expectedWorkMs, AttemptResult result) {
         outliers.recordResult(now, endpoint, requestClass, expectedWorkMs, result);
         loadReports.record(now, endpoint, result.loadReport());
     }
 
-    /** Whether an attempt that has been working so long, in ms, should have ended by now. */
+    /** Returns whether an attempt that has been working for {@code elapsedMs} should have ended by now. */
     public boolean isOverdue(double now, Endpoint endpoint, double expectedWorkMs, double elapsedMs) {
         double expectedMs = expectedWorkMs * Math.max(1, endpoint.latencyPenalty(now));
-        return elapsedMs > OVERDUE_MULTIPLE * expectedMs + OVERDUE_MIN_MS;
+        return elapsedMs > OVERDUE_LATENCY_MULTIPLE * expectedMs + OVERDUE_MARGIN_MS;
     }
 
-    /** Learns that an attempt is overdue; to be called once for each. */
+    /** Updates the scores of an endpoint for an overdue attempt. Must be called once for each such attempt. */
     public void recordOverdue(double now, Endpoint endpoint, RequestClass requestClass) {
         outliers.recordOverdue(now, endpoint, requestClass);
     }
 
     // ---- snapshot
 
-    /** The scores of the listed endpoints under observation, for the process that follows. */
+    /** Returns the scores of the listed endpoints under observation, for the successor. */
     public List<HealthSnapshot> takeSnapshot() {
         return outliers.takeSnapshot();
     }
 
-    /** Takes over scores; those of hosts and classes that are not known here are passed over. */
+    /** Restores the scores that the predecessor had. Ignores those of unknown hosts and classes. */
     public void restore(double now, List<HealthSnapshot> snapshots) {
         outliers.restore(now, snapshots, table);
     }
 
-    // ---- for tests of this package
+    // ---- for the tests of this package
 
     EndpointTable table() {
         return table;
--- a/src/main/java/caperrudder/policy/loadbalancing/LoadReports.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/LoadReports.java
@@ -3,35 +3,38 @@
 import java.util.List;
 
 /**
- * What the hosts report of their own load with each answer (PROTOCOL, {@code Endpoint-Load-Metrics}), refreshed only
- * every few hundred milliseconds. Since reports are late, they shift an endpoint's chance to be chosen and no more: if
- * all gateways took the one that reports least, they would fill it.
+ * The load that hosts report with each response (PROTOCOL, {@code Endpoint-Load-Metrics}). Hosts update it only every
+ * few hundred milliseconds, so it merely adjusts the probability with which an endpoint is drawn: if all gateways used
+ * the endpoint with the least reported load, they would overload it.
  */
 final class LoadReports {
-    private static final String REQUESTS_HELD = "inflight"; // the report's field for requests that a host holds
-    private static final double MEAN_GAIN = 0.05; // weight of one report in the mean reported load
-    private static final double MAX_CORRECTION = 1.5; // times its share that an endpoint gets at most
+    private static final String IN_FLIGHT_FIELD = "inflight"; // requests in flight at the host
+    private static final double MEAN_LOAD_GAIN = 0.05; // weight of one report in the moving average
+    private static final double MAX_CORRECTION_FACTOR = 1.5; // its inverse is the minimum
 
     private final SlowStart slowStart;
-    private final int field; // its place in each report; negative where hosts do not report it
-    private double meanLoad; // requests that a warm endpoint holds on the mean of all reports
+    private final int fieldIndex; // in each report; -1 if hosts do not report it
+    private double meanLoad; // moving average of the requests in flight at a warm endpoint
 
     LoadReports(List<String> fields, SlowStart slowStart) {
         this.slowStart = slowStart;
-        field = fields.indexOf(REQUESTS_HELD);
+        fieldIndex = fields.indexOf(IN_FLIGHT_FIELD);
     }
 
-    /** Takes in a report: the values of the settings' fields in their order, or fewer. */
+    /** Records a report: the values of the configured fields in their order, possibly without the last ones. */
     void record(double now, Endpoint endpoint, double[] report) {
-        if (field < 0 || field >= report.length) return;
-        endpoint.setReportedLoad(report[field]);
-        meanLoad += MEAN_GAIN * (report[field] / slowStart.capacity(endpoint, now) - meanLoad);
+        if (fieldIndex < 0 || fieldIndex >= report.length) return;
+        endpoint.setReportedLoad(report[fieldIndex]);
+        meanLoad += MEAN_LOAD_GAIN * (report[fieldIndex] / slowStart.capacity(endpoint, now) - meanLoad);
     }
 
-    /** More than 1 for an endpoint that holds less than others for what it can do, by its last report. */
+    /**
+     * Returns the factor by which to correct an endpoint's weight: over 1 if its last report shows less load for its
+     * capacity than the average, 1 if it has not reported.
+     */
     double correction(double now, Endpoint endpoint) {
         if (!endpoint.hasReportedLoad()) return 1;
         double load = endpoint.reportedLoad() / slowStart.capacity(endpoint, now);
-        return Math.max(1 / MAX_CORRECTION, Math.min(MAX_CORRECTION, (1 + meanLoad) / (1 + load)));
+        return Math.max(1 / MAX_CORRECTION_FACTOR, Math.min(MAX_CORRECTION_FACTOR, (1 + meanLoad) / (1 + load)));
     }
 }
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
@@ -10,14 +10,14 @@
 import java.util.function.Predicate;
 
 /**
- * Scores the endpoints by how attempts end (DESIGN, Trouble). It keeps the set of endpoints under observation: those
- * that were sent something or have started lately, beside which an endpoint is as good as any other.
+ * Scores the endpoints by the results of attempts (DESIGN, Trouble). It keeps the set of endpoints under observation:
+ * those that were sent an attempt, have started recently or had scores in a snapshot. All others count as healthy.
  */
 final class OutlierDetector {
-    private static final double LATENCY_GAIN = 0.12; // weight of one answer in the penalty
-    private static final double FAILURE_GAIN = 0.4; // weight of a failure, a rejection or an overdue attempt
-    private static final double CERTAIN = 1; // weight of a failed connection: the host takes nothing now
-    private static final double CLEARED_PENALTY = 1.3; // below it a further failure is a first one again
+    private static final double LATENCY_GAIN = 0.12; // weight of one response
+    private static final double FAILURE_GAIN = 0.4; // weight of an error, a rejection or an overdue attempt
+    private static final double CONNECT_FAILURE_GAIN = 1; // ejects at the second failure in a row
+    private static final double CLEARED_PENALTY = 1.3; // a success clears the failures of a class only below it
 
     private final Set<String> classNames = new LinkedHashSet<>();
     private final Set<Endpoint> observed = new LinkedHashSet<>();
@@ -26,20 +26,22 @@
         for (RequestClass requestClass : classes) classNames.add(requestClass.name());
     }
 
+    /** Adds an endpoint to those under observation. */
     void observe(Endpoint endpoint) {
         observed.add(endpoint);
     }
 
+    /** Removes an endpoint from those under observation; it keeps its scores. */
     void forget(Endpoint endpoint) {
         observed.remove(endpoint);
     }
 
-    /** Ends the observation of those of which nothing is known any more. */
-    void forgetIf(Predicate<Endpoint> settled) {
-        observed.removeIf(settled);
+    /** Removes the endpoints that match from those under observation. */
+    void forgetIf(Predicate<Endpoint> condition) {
+        observed.removeIf(condition);
     }
 
-    /** Capacity that the endpoints under observation lack, in warm healthy endpoints. */
+    /** Returns the capacity lost to slow start and ejection, as a number of warm healthy endpoints. */
     double missingCapacity(double now, SlowStart slowStart) {
         return observed.stream()
                 .filter(Endpoint::isUsable)
@@ -49,7 +51,7 @@
                 .sum();
     }
 
-    /** Usable endpoints that have done so badly at a class that others come before them. */
+    /** Returns the number of usable endpoints that are ejected for at least one request class. */
     int ejectedCount(double now) {
         int count = 0;
         for (Endpoint endpoint : observed) if (endpoint.isUsable() && isEjected(now, endpoint)) count++;
@@ -63,7 +65,7 @@
         return false;
     }
 
-    /** Scores an endpoint by the end of an attempt that was expected to take so long, in ms. */
+    /** Scores an endpoint by the result of an attempt that was expected to take {@code expectedWorkMs}. */
     void recordResult(
             double now, Endpoint endpoint, RequestClass requestClass, double expectedWorkMs, AttemptResult result) {
         switch (result.outcome()) {
@@ -71,43 +73,44 @@
                 double penalty = result.latencyMs() / Math.max(1, expectedWorkMs);
                 recordSuccess(now, endpoint.scores(), requestClass.name(), penalty);
             }
-                // No connection, and again none: down or full, the host takes nothing from this gateway now.
-            case CONNECT_FAILED -> endpoint.scores().overall().recordFailure(CERTAIN, now);
+                // A host that refuses connections repeatedly is down or full, and serves no class of requests.
+            case CONNECT_FAILED -> endpoint.scores().overall().recordFailure(CONNECT_FAILURE_GAIN, now);
             case REJECTED -> endpoint.scores().overall().record(OutlierScore.EJECTION_PENALTY, FAILURE_GAIN, now);
             case ERROR, RESET, TIMEOUT -> recordError(now, endpoint.scores(), requestClass.name());
-            default -> {} // tells nothing of the host
+            default -> {} // says nothing about the host
         }
     }
 
     private static void recordSuccess(double now, EndpointScores scores, String className, double penalty) {
         scores.overall().record(penalty, LATENCY_GAIN, now);
         scores.overall().clearFailures();
-        OutlierScore ofClass = scores.of(className);
-        ofClass.record(1, LATENCY_GAIN, now);
-        // A host that fails most requests at once serves some: one good answer clears it of nothing.
-        if (ofClass.latencyPenalty(now) < CLEARED_PENALTY) ofClass.clearFailures();
+        OutlierScore classScore = scores.of(className);
+        classScore.record(1, LATENCY_GAIN, now);
+        // Even a host that fails most requests serves some, so one success does not clear its failures.
+        if (classScore.latencyPenalty(now) < CLEARED_PENALTY) classScore.clearFailures();
     }
 
     private void recordError(double now, EndpointScores scores, String className) {
         scores.of(className).recordFailure(FAILURE_GAIN, now);
-        // Among many gateways each meets a host too seldom to eject it class by class.
-        int failing = 0;
-        for (String name : classNames) if (scores.of(name).hasFailures()) failing++; // creates scores for all classes
-        if (failing > 1) scores.overall().record(OutlierScore.MAX_PENALTY, FAILURE_GAIN, now);
+        // In a large fleet, a gateway uses each host too seldom to eject it class by class.
+        int failingClasses = 0;
+        for (String name : classNames) if (scores.of(name).hasFailures()) failingClasses++; // creates scores
+        if (failingClasses > 1) scores.overall().record(OutlierScore.MAX_PENALTY, FAILURE_GAIN, now);
     }
 
-    /** Scores an endpoint by an attempt that has taken far longer than expected and goes on. */
+    /** Scores an endpoint by an attempt that has taken far longer than expected and has not ended. */
     void recordOverdue(double now, Endpoint endpoint, RequestClass requestClass) {
         endpoint.scores().of(requestClass.name()).recordFailure(FAILURE_GAIN, now);
     }
 
+    /** Returns the scores of the listed endpoints under observation. */
     List<HealthSnapshot> takeSnapshot() {
         List<HealthSnapshot> snapshots = new ArrayList<>();
         for (Endpoint endpoint : observed) if (endpoint.isListed()) endpoint.takeSnapshot(snapshots);
         return snapshots;
     }
 
-    /** Takes over scores; those of hosts and classes that are not known here are passed over. */
+    /** Restores scores, and observes their endpoints. Ignores the scores of unknown hosts and classes. */
     void restore(double now, List<HealthSnapshot> snapshots, EndpointTable table) {
         for (HealthSnapshot snapshot : snapshots) {
             Endpoint endpoint = table.find(snapshot.host());
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierScore.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierScore.java
@@ -3,63 +3,65 @@
 import caperrudder.api.HealthSnapshot;
 
 /**
- * How many times slower than usual an endpoint was last observed to be: 1 is as usual. Failures count as the slowest
- * answers. A penalty that is not confirmed decays, so that a bad endpoint gets a trial by itself.
+ * A moving average of an endpoint's observed latency penalties. The latency penalty is the ratio of actual to expected
+ * latency; a failure counts as the maximum. Without observations the average decays towards 1, so that an ejected
+ * endpoint gets requests again.
  */
 final class OutlierScore {
-    /** Largest latency penalty that is believed. */
+    /** The maximum latency penalty; higher observations count as this. */
     static final double MAX_PENALTY = 12;
 
-    /** From this penalty on an endpoint counts as ejected: others come first, and it adds no capacity. */
+    /** The latency penalty from which an endpoint is ejected: others are preferred, and it adds no capacity. */
     static final double EJECTION_PENALTY = 4;
 
-    private static final double DECAY_MS = 6000; // time constant of the decay towards 1
-    private static final double FIRST_FAILURE_GAIN = 0.1; // weight of a first failure: any connection may break
+    private static final double DECAY_TIME_CONSTANT_MS = 6000;
+    private static final double FIRST_FAILURE_GAIN = 0.1; // weight of a failure that may be chance
 
     private double latencyPenalty = 1;
     private double updatedAtMs;
     private int failuresSinceSuccess;
 
-    /** The penalty now, from 0 to {@link #MAX_PENALTY}. */
+    /** Returns the penalty at {@code now}, from 0 to {@link #MAX_PENALTY}. */
     double latencyPenalty(double now) {
-        return latencyPenalty == 1 ? 1 : 1 + (latencyPenalty - 1) * Math.exp(-(now - updatedAtMs) / DECAY_MS);
+        return latencyPenalty == 1 ? 1 : 1 + (latencyPenalty - 1) * Math.exp(-(now - updatedAtMs) / DECAY_TIME_CONSTANT_MS);
     }
 
-    /** Moves the penalty towards an observed one by {@code gain}, from 0 (ignore it) to 1 (replace by it). */
+    /** Records an observed penalty. {@code gain} is its weight, from 0 (none) to 1 (replaces the penalty). */
     void record(double observedPenalty, double gain, double now) {
         double current = latencyPenalty(now);
         latencyPenalty = current + gain * (Math.min(MAX_PENALTY, observedPenalty) - current);
         updatedAtMs = now;
     }
 
-    /** One failure may be chance; a further one before a success tells of the endpoint and counts by {@code gain}. */
+    /** Records a failure. The first one since a success gets a low weight; the following ones get {@code gain}. */
     void recordFailure(double gain, double now) {
         record(MAX_PENALTY, failuresSinceSuccess > 0 ? gain : FIRST_FAILURE_GAIN, now);
         failuresSinceSuccess++;
     }
 
+    /** Returns whether there were failures since the last {@link #clearFailures}. */
     boolean hasFailures() {
         return failuresSinceSuccess > 0;
     }
 
-    /** The next failure counts as a first one again. */
+    /** Makes the next failure count as the first one again. */
     void clearFailures() {
         failuresSinceSuccess = 0;
     }
 
-    /** Forgets the penalty, since the endpoint has restarted. */
+    /** Resets the penalty to 1; keeps the count of failures. */
     void clearPenalty() {
         latencyPenalty = 1;
     }
 
-    /** Takes over what another process observed; its clock is this one's. */
+    /** Restores the score of a predecessor that used the same clock. Limits it to valid values. */
     void restore(HealthSnapshot snapshot, double now) {
         latencyPenalty = Math.max(0, Math.min(MAX_PENALTY, snapshot.latencyPenalty()));
         updatedAtMs = Math.min(now, snapshot.updatedAtMs());
         failuresSinceSuccess = snapshot.failuresSinceSuccess();
     }
 
-    /** What the next process is to know; an empty class name stands for all classes. */
+    /** Returns the score for a successor; {@code requestClass} is empty for the score of all classes. */
     HealthSnapshot takeSnapshot(String hostId, String requestClass) {
         return new HealthSnapshot(hostId, requestClass, latencyPenalty, updatedAtMs, failuresSinceSuccess);
     }
--- a/src/main/java/caperrudder/policy/loadbalancing/PlacementRequest.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/PlacementRequest.java
@@ -9,10 +9,10 @@
  * A request that needs an endpoint for its next attempt.
  *
  * @param requestClass the request's class
- * @param expectedWorkMs time that requests of this class and size have been taking, in ms
- * @param repeatable whether one more attempt is harmless by now (WIRE, rule 2); true where none may have run
- * @param mayHaveRunOn the host of the first attempt that may have run, or null where none may have run
- * @param attempted the endpoints of all attempts so far, in order; one that had several is listed as often
+ * @param expectedWorkMs the expected time of an attempt, in ms
+ * @param repeatable whether another attempt is harmless now (WIRE, rule 2); true if no attempt may have run yet
+ * @param mayHaveRunOn the host of the first attempt that may have run, or null if there was none
+ * @param attempted the endpoint of each attempt so far, in order; may contain the same endpoint several times
  */
 public record PlacementRequest(
         RequestClass requestClass,
@@ -25,7 +25,10 @@
         return requestClass.name();
     }
 
-    /** Whether an attempt on this endpoint is harmless: once one may have run, only where a repeat is dropped. */
+    /**
+     * Returns whether the next attempt may use this endpoint. Once an attempt may have run, a request with an
+     * idempotency key may use only the endpoints that drop a repeat of that attempt.
+     */
     boolean allows(Endpoint endpoint) {
         return repeatable
                 && (mayHaveRunOn == null
--- a/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
@@ -3,12 +3,13 @@
 import caperrudder.api.Rules;
 
 /**
- * Slow start: a host that has just started can do less, and more with time. It falls over where all gateways together
- * send it more than {@link Rules#overloadMultiple()} times that (WIRE, rule 4), so each sends it its share only.
+ * Limits the traffic to hosts that have just started, whose capacity rises with time. A host fails if all gateways
+ * together send it more than {@link Rules#overloadMultiple()} times its present capacity (WIRE, rule 4), so each
+ * gateway sends it only a limited share of the traffic.
  */
 final class SlowStart {
-    private static final double SAFETY = 0.7; // of the allowance that is used: bursts fit in the rest
-    private static final double MIN_CAPACITY = 0.01; // so that no score is divided by nothing
+    private static final double OVERLOAD_SAFETY_FACTOR = 0.7; // leaves room for bursts
+    private static final double MIN_CAPACITY_SHARE = 0.01; // above 0, since scores are divided by it
 
     private final double coldStartCapacity;
     private final double slowStartMs;
@@ -20,27 +21,28 @@
         overloadMultiple = rules.overloadMultiple();
     }
 
-    /** The share of its full capacity that an endpoint has now, by its start alone: above 0, at most 1. */
+    /** Returns the share of its full capacity that an endpoint has now, by its last start: above 0, at most 1. */
     double capacity(Endpoint endpoint, double now) {
         double elapsed = (now - endpoint.startedAtMs()) / slowStartMs;
         return elapsed >= 1
                 ? 1
-                : Math.max(MIN_CAPACITY, coldStartCapacity + (1 - coldStartCapacity) * Math.max(0, elapsed));
+                : Math.max(MIN_CAPACITY_SHARE, coldStartCapacity + (1 - coldStartCapacity) * Math.max(0, elapsed));
     }
 
+    /** Returns whether an endpoint has less than its full capacity because it has just started. */
     boolean isWarmingUp(Endpoint endpoint, double now) {
         return capacity(endpoint, now) < 1;
     }
 
-    /** What may go to an endpoint as a share of what a warm one gets; over 1 where it is nearly warm. */
+    /** Returns the traffic that may go to an endpoint, relative to a warm one; over 1 if it is nearly warm. */
     double allowedShare(Endpoint endpoint, double now) {
-        return SAFETY * overloadMultiple * capacity(endpoint, now);
+        return OVERLOAD_SAFETY_FACTOR * overloadMultiple * capacity(endpoint, now);
     }
 
     /**
-     * Credits an endpoint with its share of one request, and takes the price of one where there is credit for it. It
-     * saves up for each request instead of being drawn for it: the sum of many gateways' chances soon exceeds the
-     * few requests that it bears.
+     * Credits an endpoint with its allowed share of one request. If the credit is then worth a request, deducts it and
+     * returns true. Credit limits an endpoint's requests better than a random draw would: the draws of many gateways
+     * may coincide and exceed the few requests that it can take.
      */
     boolean earnsRequest(Endpoint endpoint, double now) {
         double credit = endpoint.slowStartCredit() + Math.min(1, allowedShare(endpoint, now));
@@ -49,7 +51,7 @@
         return earned;
     }
 
-    /** Takes the price of a request that an endpoint gets without having earned it, since there is no other. */
+    /** Deducts the credit of a request that the endpoint gets without having earned it, down to a credit of -1. */
     void chargeRequest(Endpoint endpoint) {
         endpoint.setSlowStartCredit(Math.max(-1, endpoint.slowStartCredit() - 1));
     }
