--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointCostsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointCostsTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Bytes that one gateway of 4,200 allocates before 160,000 hosts, seen from outside the module. */
+/** Guards against memory allocation that grows with the number of hosts, in a fleet of 4,200 gateways. */
 class EndpointCostsTest {
     private static final int HOSTS = 160_000;
     private static final int CHANGES = 100;
@@ -24,42 +24,42 @@
         return new Host("h" + number, "z" + number % 32, "std", number % 400, state, 1, 1000);
     }
 
-    private long allocated() {
+    private long allocatedBytes() {
         return threads.getThreadAllocatedBytes(Thread.currentThread().getId());
     }
 
     @Test
-    void changesIdleSecondsAndRequestsDoNotCopyTheEndpoints() {
-        PolicyHarness g = new PolicyHarness(1_000_000, PolicyHarness.settings(17, 4200, 5));
+    void changesIdleSecondsAndRequestsDoNotAllocateForEachEndpoint() {
+        PolicyHarness gateway = new PolicyHarness(1_000_000, PolicyHarness.settings(17, 4200, 5));
         List<Host> hosts = IntStream.range(0, HOSTS)
                 .mapToObj(i -> host(i, HostState.RUNNING))
                 .toList();
-        long before = allocated();
-        g.hostsUpdated(HostListKind.FULL, hosts);
-        double perHost = (allocated() - before) / (double) HOSTS;
-        assertTrue(perHost < 200, perHost + " bytes for a host of a whole list");
+        long bytesBefore = allocatedBytes();
+        gateway.hostsUpdated(HostListKind.FULL, hosts);
+        double bytesPerHost = (allocatedBytes() - bytesBefore) / (double) HOSTS;
+        assertTrue(bytesPerHost < 200, bytesPerHost + " bytes allocated per host of a full list, expected < 200");
 
         Random random = new Random(1);
-        before = allocated();
+        bytesBefore = allocatedBytes();
         for (int i = 0; i < CHANGES / 2; i++) {
             int number = random.nextInt(HOSTS);
-            g.hostsUpdated(HostListKind.CHANGES, List.of(host(number, HostState.GONE)));
-            g.hostsUpdated(HostListKind.CHANGES, List.of(host(number, HostState.RUNNING)));
+            gateway.hostsUpdated(HostListKind.CHANGES, List.of(host(number, HostState.GONE)));
+            gateway.hostsUpdated(HostListKind.CHANGES, List.of(host(number, HostState.RUNNING)));
         }
-        long perChange = (allocated() - before) / CHANGES;
-        assertTrue(perChange < 20_000, perChange + " bytes for a change");
+        long bytesPerChange = (allocatedBytes() - bytesBefore) / CHANGES;
+        assertTrue(bytesPerChange < 20_000, bytesPerChange + " bytes allocated per change, expected < 20000");
 
-        before = allocated();
-        g.advance(10_000);
-        long perSecond = (allocated() - before) / 10;
-        assertTrue(perSecond < 400_000, perSecond + " bytes in an idle second");
+        bytesBefore = allocatedBytes();
+        gateway.advance(10_000);
+        long bytesPerSecond = (allocatedBytes() - bytesBefore) / 10;
+        assertTrue(bytesPerSecond < 400_000, bytesPerSecond + " bytes allocated per idle second, expected < 400000");
 
-        before = allocated();
+        bytesBefore = allocatedBytes();
         for (int i = 0; i < 100; i++) {
-            g.request("r" + i, "read");
-            g.endAttempt("r" + i, 0, Outcome.OK, 20);
+            gateway.request("r" + i, "read");
+            gateway.endAttempt("r" + i, 0, Outcome.OK, 20);
         }
-        long perRequest = (allocated() - before) / 100;
-        assertTrue(perRequest < 20_000, perRequest + " bytes for a request");
+        long bytesPerRequest = (allocatedBytes() - bytesBefore) / 100;
+        assertTrue(bytesPerRequest < 20_000, bytesPerRequest + " bytes allocated per request, expected < 20000");
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -28,11 +28,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The table of hosts: which hosts a gateway keeps to, and what it may use where it can't use these. */
+/** The endpoint table, the subset of a gateway, and the fallback if the subset cannot be used. */
 class EndpointTableTest {
     private static final int HOSTS = 700;
 
-    /** Of these some share a hash with another. */
+    /** Returns a host whose id may have the same hash as that of another number. */
     private static Host host(int number, HostState state, double startedMs, String zone, int cell) {
         String id = number % 7 > 1 ? "h" + number : (number % 7 == 0 ? "Aa" : "BB") + number / 7;
         return new Host(id, zone, "std", cell, state, 1, startedMs);
@@ -48,230 +48,237 @@
                 .toList();
     }
 
-    private static List<String> ids(Collection<Endpoint> hosts) {
-        return hosts.stream().map(s -> s.host().id()).toList();
+    private static List<String> ids(Collection<Endpoint> endpoints) {
+        return endpoints.stream().map(endpoint -> endpoint.host().id()).toList();
     }
 
-    private static List<String> usable(PolicyHarness g) {
+    private static List<String> usableIds(PolicyHarness gateway) {
         return ids(RankedEndpoints.copyCircular(
-                g.loadBalancer().table().usable(), 0, g.loadBalancer().table().usableCount()));
+                gateway.loadBalancer().table().usable(), 0, gateway.loadBalancer().table().usableCount()));
     }
 
-    /** What every gateway once did at each change: walk, copy and sort all hosts. */
-    private static final class ScannedHosts {
-        private record Known(Host info, boolean listed, double startedAtMs) {}
+    /** A reference implementation of the table that scans and sorts all hosts at every change. */
+    private static final class ReferenceTable {
+        private record KnownHost(Host host, boolean listed, double startedAtMs) {}
 
-        private final Map<String, Known> all = new LinkedHashMap<>();
-        private List<String> usable = List.of();
-        private final List<String> subset = new ArrayList<>();
+        private final Map<String, KnownHost> all = new LinkedHashMap<>();
+        private List<String> usableIds = List.of();
+        private final List<String> subsetIds = new ArrayList<>();
         private double capacity;
 
-        void listed(HostListKind kind, List<Host> hosts) {
-            if (kind != HostListKind.CHANGES) all.replaceAll((id, k) -> new Known(k.info(), false, k.startedAtMs()));
-            for (Host h : hosts) {
-                Known k = all.get(h.id());
-                double startedAtMs = k == null ? Double.NEGATIVE_INFINITY : k.startedAtMs();
+        void hostsUpdated(HostListKind kind, List<Host> hosts) {
+            if (kind != HostListKind.CHANGES) all.replaceAll((id, known) -> new KnownHost(known.host(), false, known.startedAtMs()));
+            for (Host host : hosts) {
+                KnownHost known = all.get(host.id());
+                double startedAtMs = known == null ? Double.NEGATIVE_INFINITY : known.startedAtMs();
                 all.put(
-                        h.id(),
-                        new Known(
-                                h,
-                                h.state() != HostState.GONE,
-                                h.startedMs() > 0 ? Math.max(startedAtMs, h.startedMs()) : startedAtMs));
+                        host.id(),
+                        new KnownHost(
+                                host,
+                                host.state() != HostState.GONE,
+                                host.startedMs() > 0 ? Math.max(startedAtMs, host.startedMs()) : startedAtMs));
             }
         }
 
-        void refresh(double now, PolicyHarness g, int me, int gateways) {
+        void refresh(double now, PolicyHarness gateway, int gatewayIndex, int gatewayCount) {
             all.values()
-                    .removeIf(k -> !k.listed()
-                            && g.loadBalancer().table().find(k.info().id()) == null); // forgotten
-            List<Known> open = all.values().stream()
-                    .filter(k -> k.listed() && k.info().state() == HostState.RUNNING)
-                    .sorted(Comparator.<Known>comparingInt(k -> k.info().id().hashCode())
-                            .thenComparing(k -> k.info().id()))
+                    .removeIf(known -> !known.listed()
+                            && gateway.loadBalancer().table().find(known.host().id()) == null);
+            List<KnownHost> usable = all.values().stream()
+                    .filter(known -> known.listed() && known.host().state() == HostState.RUNNING)
+                    .sorted(Comparator.<KnownHost>comparingInt(known -> known.host().id().hashCode())
+                            .thenComparing(known -> known.host().id()))
                     .toList();
-            usable = open.stream().map(k -> k.info().id()).toList();
-            capacity = open.stream()
-                    .mapToDouble(k ->
-                            penalty(now, g.loadBalancer().table().find(k.info().id())) < 4
-                                    ? capacityShare(now, k.startedAtMs())
+            usableIds = usable.stream().map(known -> known.host().id()).toList();
+            capacity = usable.stream()
+                    .mapToDouble(known ->
+                            penalty(now, gateway.loadBalancer().table().find(known.host().id())) < 4
+                                    ? capacityShare(now, known.startedAtMs())
                                     : 0)
                     .sum();
-            subset.clear();
-            int kept = Math.max(8, 6 * usable.size() / gateways);
-            for (int i = 0; i < Math.min(kept, usable.size()); i++) {
-                subset.add(usable.get((int) (((long) me * kept + i) % usable.size())));
+            subsetIds.clear();
+            int subsetSize = Math.max(8, 6 * usableIds.size() / gatewayCount);
+            for (int i = 0; i < Math.min(subsetSize, usableIds.size()); i++) {
+                subsetIds.add(usableIds.get((int) (((long) gatewayIndex * subsetSize + i) % usableIds.size())));
             }
         }
 
         private static double penalty(double now, Endpoint endpoint) {
             List<HealthSnapshot> scores = new ArrayList<>();
             endpoint.takeSnapshot(scores);
-            for (HealthSnapshot s : scores) {
-                if (!s.requestClass().isEmpty()) continue;
-                return 1 + (s.latencyPenalty() - 1) * Math.exp(-(now - s.updatedAtMs()) / 6000);
+            for (HealthSnapshot score : scores) {
+                if (!score.requestClass().isEmpty()) continue;
+                return 1 + (score.latencyPenalty() - 1) * Math.exp(-(now - score.updatedAtMs()) / 6000);
             }
             return 1;
         }
 
         private static double capacityShare(double now, double startedAtMs) {
-            double done = (now - startedAtMs) / 10_000;
-            return done >= 1 ? 1 : Math.max(0.01, 0.2 + 0.8 * Math.max(0, done));
+            double elapsedShare = (now - startedAtMs) / 10_000;
+            return elapsedShare >= 1 ? 1 : Math.max(0.01, 0.2 + 0.8 * Math.max(0, elapsedShare));
         }
     }
 
     @Test
-    void ofUpToAHundredGatewaysEachUsesTheSubsetThatAScanOfAllHostsFinds() {
-        int[] gateways = {1, 2, 3, 14, 20, 95, 100};
+    void inASmallFleetRandomChangesGiveTheSameTableAndSubsetAsTheReference() {
+        int[] gatewayCounts = {1, 2, 3, 14, 20, 95, 100};
         for (int round = 0; round < 21; round++) {
-            int n = gateways[round % gateways.length];
-            playRandomChanges(new Random(round), round * 31 % n, n, round % 3 == 0 ? 12 : round % 3 == 1 ? 90 : HOSTS);
+            int gatewayCount = gatewayCounts[round % gatewayCounts.length];
+            compareRandomChanges(
+                    new Random(round),
+                    round * 31 % gatewayCount,
+                    gatewayCount,
+                    round % 3 == 0 ? 12 : round % 3 == 1 ? 90 : HOSTS);
         }
     }
 
     @SuppressWarnings("EnumOrdinal") // drawn, never stored
-    private void playRandomChanges(Random random, int me, int n, int numbers) {
-        PolicyHarness g = new PolicyHarness(1_000_000, PolicyHarness.settings(me, n, 5));
-        ScannedHosts scanned = new ScannedHosts();
+    private void compareRandomChanges(Random random, int gatewayIndex, int gatewayCount, int hostCount) {
+        PolicyHarness gateway = new PolicyHarness(1_000_000, PolicyHarness.settings(gatewayIndex, gatewayCount, 5));
+        ReferenceTable reference = new ReferenceTable();
         for (int step = 0; step < 200; step++) {
-            boolean whole = step == 0 || random.nextInt(40) == 0;
+            boolean fullList = step == 0 || random.nextInt(40) == 0;
             List<Host> listed = new ArrayList<>();
-            for (int i = whole ? 0 : random.nextInt(4); i < (whole ? numbers : 3); i++) {
-                HostState state = HostState.values()[Math.max(0, random.nextInt(whole ? 12 : 5) - (whole ? 9 : 2))];
-                double started = random.nextInt(3) == 0 ? g.now() - random.nextInt(15_000) : 0;
-                listed.add(host(random.nextInt(numbers), state, started, "z" + random.nextInt(3), random.nextInt(5)));
+            for (int i = fullList ? 0 : random.nextInt(4); i < (fullList ? hostCount : 3); i++) {
+                HostState state = HostState.values()[Math.max(0, random.nextInt(fullList ? 12 : 5) - (fullList ? 9 : 2))];
+                double startedMs = random.nextInt(3) == 0 ? gateway.now() - random.nextInt(15_000) : 0;
+                listed.add(host(random.nextInt(hostCount), state, startedMs, "z" + random.nextInt(3), random.nextInt(5)));
             }
             HostListKind kind =
-                    whole ? random.nextBoolean() ? HostListKind.FULL : HostListKind.CACHED : HostListKind.CHANGES;
-            g.hostsUpdated(kind, listed);
-            scanned.listed(kind, listed);
-            assertSameAsScan(scanned, g, me, n);
+                    fullList ? random.nextBoolean() ? HostListKind.FULL : HostListKind.CACHED : HostListKind.CHANGES;
+            gateway.hostsUpdated(kind, listed);
+            reference.hostsUpdated(kind, listed);
+            assertSameAsReference(reference, gateway, gatewayIndex, gatewayCount);
             for (int i = 0; i < 6; i++) {
                 String id = "r" + step + "-" + i;
-                g.request(id, "pay");
-                if (g.attemptsOf(id) == 0) continue;
+                gateway.request(id, "pay");
+                if (gateway.attemptsOf(id) == 0) continue;
                 Outcome outcome = random.nextInt(3) > 0 ? Outcome.CONNECT_FAILED : Outcome.OK;
-                g.endAttempt(id, 0, outcome, 5);
+                gateway.endAttempt(id, 0, outcome, 5);
             }
-            g.advance(500 + random.nextInt(100) * 10); // beyond a beat at which hosts are counted
-            g.hostsUpdated(HostListKind.CHANGES, List.of());
-            assertSameAsScan(scanned, g, me, n);
+            gateway.advance(500 + random.nextInt(100) * 10); // long enough for a tick that recomputes the capacity
+            gateway.hostsUpdated(HostListKind.CHANGES, List.of());
+            assertSameAsReference(reference, gateway, gatewayIndex, gatewayCount);
         }
     }
 
-    private static void assertSameAsScan(ScannedHosts scanned, PolicyHarness g, int me, int n) {
-        scanned.refresh(g.now(), g, me, n);
-        assertEquals(scanned.usable, usable(g));
-        assertEquals(scanned.subset, ids(g.loadBalancer().subset()));
-        assertEquals(scanned.capacity, g.loadBalancer().capacity(), 1e-9);
+    private static void assertSameAsReference(
+            ReferenceTable reference, PolicyHarness gateway, int gatewayIndex, int gatewayCount) {
+        reference.refresh(gateway.now(), gateway, gatewayIndex, gatewayCount);
+        assertEquals(reference.usableIds, usableIds(gateway));
+        assertEquals(reference.subsetIds, ids(gateway.loadBalancer().subset()));
+        assertEquals(reference.capacity, gateway.loadBalancer().capacity(), 1e-9);
         assertEquals(
-                scanned.all.values().stream().filter(ScannedHosts.Known::listed).count(),
-                g.loadBalancer().clusterHealth(g.now()).size());
+                reference.all.values().stream().filter(ReferenceTable.KnownHost::listed).count(),
+                gateway.loadBalancer().clusterHealth(gateway.now()).size());
     }
 
-    /** So many gateways, each listed the same hosts. */
+    /** Creates a fleet whose gateways all have the same full list of hosts. */
     private static List<PolicyHarness> fleet(int gateways, List<Host> hosts) {
         List<PolicyHarness> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            PolicyHarness g = new PolicyHarness(1000, PolicyHarness.settings(i, gateways, i));
-            g.hostsUpdated(HostListKind.FULL, hosts);
-            fleet.add(g);
+            PolicyHarness gateway = new PolicyHarness(1000, PolicyHarness.settings(i, gateways, i));
+            gateway.hostsUpdated(HostListKind.FULL, hosts);
+            fleet.add(gateway);
         }
         return fleet;
     }
 
     private static Map<String, Integer> gatewaysByHost(List<PolicyHarness> fleet) {
         Map<String, Integer> gatewaysByHost = new HashMap<>();
-        fleet.forEach(g -> g.loadBalancer()
+        fleet.forEach(gateway -> gateway.loadBalancer()
                 .subset()
-                .forEach(s -> gatewaysByHost.merge(s.host().id(), 1, Integer::sum)));
+                .forEach(endpoint -> gatewaysByHost.merge(endpoint.host().id(), 1, Integer::sum)));
         return gatewaysByHost;
     }
 
-    /** The most subset that a gateway gains or loses by a change, and how many all gain and lose. */
-    private record Moves(int mostGained, int mostLost, int gained, int lost) {}
-
-    private static Moves change(List<PolicyHarness> fleet, Host h) {
-        Moves all = new Moves(0, 0, 0, 0);
-        for (PolicyHarness g : fleet) {
-            Set<String> before = new HashSet<>(ids(g.loadBalancer().subset()));
-            g.hostsUpdated(HostListKind.CHANGES, List.of(h));
-            Set<String> after = new HashSet<>(ids(g.loadBalancer().subset()));
-            int gained = (int) after.stream().filter(id -> !before.contains(id)).count();
-            int lost = (int) before.stream().filter(id -> !after.contains(id)).count();
-            all = new Moves(
-                    Math.max(all.mostGained, gained),
-                    Math.max(all.mostLost, lost),
-                    all.gained + gained,
-                    all.lost + lost);
+    /** Endpoints added to and removed from subsets by a change: the most of any gateway, and the total of the fleet. */
+    private record SubsetChanges(int mostAdded, int mostRemoved, int added, int removed) {}
+
+    private static SubsetChanges applyChange(List<PolicyHarness> fleet, Host host) {
+        SubsetChanges changes = new SubsetChanges(0, 0, 0, 0);
+        for (PolicyHarness gateway : fleet) {
+            Set<String> before = new HashSet<>(ids(gateway.loadBalancer().subset()));
+            gateway.hostsUpdated(HostListKind.CHANGES, List.of(host));
+            Set<String> after = new HashSet<>(ids(gateway.loadBalancer().subset()));
+            int added = (int) after.stream().filter(id -> !before.contains(id)).count();
+            int removed = (int) before.stream().filter(id -> !after.contains(id)).count();
+            changes = new SubsetChanges(
+                    Math.max(changes.mostAdded, added),
+                    Math.max(changes.mostRemoved, removed),
+                    changes.added + added,
+                    changes.removed + removed);
         }
-        return all;
+        return changes;
     }
 
     @Test
-    void inALargeFleetSixGatewaysUseEachHostAndAChangeMovesTheirSubsetsAlone() {
+    void inALargeFleetSixGatewaysUseEachHostAndAChangeAffectsOnlyTheirSubsets() {
         List<PolicyHarness> fleet = fleet(240, hosts(3000));
         Map<String, Integer> gatewaysByHost = gatewaysByHost(fleet);
         assertEquals(3000, gatewaysByHost.size());
         assertEquals(Set.of(6), new HashSet<>(gatewaysByHost.values()));
-        int least = fleet.stream()
-                .mapToInt(g -> g.loadBalancer().subset().size())
+        int smallest = fleet.stream()
+                .mapToInt(gateway -> gateway.loadBalancer().subset().size())
                 .min()
                 .orElseThrow();
-        int most = fleet.stream()
-                .mapToInt(g -> g.loadBalancer().subset().size())
+        int largest = fleet.stream()
+                .mapToInt(gateway -> gateway.loadBalancer().subset().size())
                 .max()
                 .orElseThrow();
-        assertTrue(least >= 45 && most <= 110, least + " to " + most + " subset, 75 on the mean");
+        assertTrue(
+                smallest >= 45 && largest <= 110,
+                "subset sizes " + smallest + " to " + largest + ", expected 45 to 110 with a mean of 75");
         for (int i = 0; i < 20; i++) {
-            assertEquals(new Moves(1, 0, 6, 0), change(fleet, PolicyHarness.host("new" + i, "z1")));
+            assertEquals(new SubsetChanges(1, 0, 6, 0), applyChange(fleet, PolicyHarness.host("new" + i, "z1")));
         }
         for (int i = 0; i < 20; i++) {
             Host gone = new Host("h" + i * 100, "z1", "std", 0, HostState.GONE, 1, 0);
-            assertEquals(new Moves(0, 1, 0, 6), change(fleet, gone));
+            assertEquals(new SubsetChanges(0, 1, 0, 6), applyChange(fleet, gone));
         }
         assertEquals(Set.of(6), new HashSet<>(gatewaysByHost(fleet).values()));
     }
 
     @Test
-    void inALargeFleetWithFewHostsAChangeMovesOneEndpointOfASubsetAtMost() {
+    void inALargeFleetWithFewHostsAChangeReplacesAtMostOneEndpointOfASubset() {
         List<PolicyHarness> fleet = fleet(240, hosts(320));
         Map<String, Integer> gatewaysByHost = gatewaysByHost(fleet);
         assertEquals(320, gatewaysByHost.size());
-        assertEquals(Set.of(6), new HashSet<>(gatewaysByHost.values())); // 240 times eight subset
+        assertEquals(Set.of(6), new HashSet<>(gatewaysByHost.values())); // 240 subsets of 8 endpoints, 320 hosts
         for (int i = 0; i < 20; i++) {
-            Moves moves = change(fleet, PolicyHarness.host("new" + i, "z1"));
-            assertTrue(moves.mostGained <= 1 && moves.mostLost <= 1, moves.toString());
-            assertTrue(gatewaysByHost(fleet).values().stream().allMatch(k -> k >= 5 && k <= 7));
+            SubsetChanges changes = applyChange(fleet, PolicyHarness.host("new" + i, "z1"));
+            assertTrue(changes.mostAdded <= 1 && changes.mostRemoved <= 1, changes.toString());
+            assertTrue(gatewaysByHost(fleet).values().stream().allMatch(gateways -> gateways >= 5 && gateways <= 7));
         }
     }
 
     @Test
-    void ofSeveralEntriesForAHostTheLastOneCounts() {
-        PolicyHarness g = PolicyHarness.single();
+    void theLastOfSeveralEntriesForAHostCounts() {
+        PolicyHarness gateway = PolicyHarness.single();
         Host a = host("a", "z1", 1);
         Host gone = new Host("a", "z1", "std", 1, HostState.GONE, 1, 0);
-        g.hostsUpdated(HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
-        assertEquals(List.of("b"), usable(g));
-        assertEquals(1, g.loadBalancer().clusterHealth(g.now()).size());
-        EndpointTable table = g.loadBalancer().table();
+        gateway.hostsUpdated(HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
+        assertEquals(List.of("b"), usableIds(gateway));
+        assertEquals(1, gateway.loadBalancer().clusterHealth(gateway.now()).size());
+        EndpointTable table = gateway.loadBalancer().table();
         assertEquals(0, table.usableSharing(DeduplicationScope.ZONE, a).size());
         assertEquals(
                 1,
                 table.usableSharing(DeduplicationScope.CELL, host("c", "z2", 2)).size());
-        g.hostsUpdated(HostListKind.CHANGES, List.of(gone, a));
-        assertEquals(List.of("a", "b"), usable(g));
-        g.hostsUpdated(HostListKind.FULL, List.of(a));
-        assertEquals(List.of("a"), usable(g));
-        g.advance(6000);
+        gateway.hostsUpdated(HostListKind.CHANGES, List.of(gone, a));
+        assertEquals(List.of("a", "b"), usableIds(gateway));
+        gateway.hostsUpdated(HostListKind.FULL, List.of(a));
+        assertEquals(List.of("a"), usableIds(gateway));
+        gateway.advance(6000);
         assertNull(table.find("b"));
     }
 
-    /** Of very many hosts one alone drops repeats of what another may have run, and is no home of its gateway. */
-    private static void assertRetryFindsTheHostOfItsPlace(DeduplicationScope scope, String zone) {
-        RequestClass order =
+    /** Asserts that a retry finds the only host among 20,000 that shares the key's scope, outside the subset. */
+    private static void assertRetryFindsTheOnlyHostInScope(DeduplicationScope scope, String zone) {
+        RequestClass requestClass =
                 new RequestClass("order", Idempotency.IDEMPOTENCY_KEY, scope, 60_000, 1000, 3000, 3, 0, false);
-        Settings s = PolicyHarness.settings(3, 100);
-        PolicyHarness g = new PolicyHarness(
+        Settings settings = PolicyHarness.settings(3, 100);
+        PolicyHarness gateway = new PolicyHarness(
                 1000,
                 new Settings(
                         7,
@@ -279,102 +286,104 @@
                         100,
                         "a",
                         false,
-                        List.of(order),
-                        s.plans(),
+                        List.of(requestClass),
+                        settings.plans(),
                         List.of(),
-                        s.limits(),
-                        s.rules(),
-                        s.sharing()));
+                        settings.limits(),
+                        settings.rules(),
+                        settings.sharing()));
         List<Host> hosts = IntStream.range(0, 20_000)
                 .mapToObj(i -> host("h" + i, "far", 1))
                 .toList();
-        g.hostsUpdated(HostListKind.FULL, hosts);
-        g.request("r", "order");
-        String first = g.lastHostOf("r");
-        g.hostsUpdated(HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
-        Set<String> subset = Set.copyOf(ids(g.loadBalancer().subset()));
-        String other = hosts.stream()
+        gateway.hostsUpdated(HostListKind.FULL, hosts);
+        gateway.request("r", "order");
+        String first = gateway.lastHostOf("r");
+        gateway.hostsUpdated(HostListKind.CHANGES, List.of(new Host(first, zone, "std", 9, HostState.DRAINING, 1, 0)));
+        Set<String> subset = Set.copyOf(ids(gateway.loadBalancer().subset()));
+        String outsideSubset = hosts.stream()
                 .map(Host::id)
                 .filter(id -> !subset.contains(id) && !id.equals(first))
                 .findFirst()
                 .orElseThrow();
-        g.endAttempt("r", 0, Outcome.ERROR, 5);
-        assertEquals(1, g.attemptsOf("r")); // none may have the repeat
-        g.hostsUpdated(HostListKind.CHANGES, List.of(host(other, zone, 9)));
-        assertFalse(ids(g.loadBalancer().subset()).contains(other));
-        assertEquals(2, g.attemptsOf("r"));
-        assertEquals(other, g.lastHostOf("r"));
+        gateway.endAttempt("r", 0, Outcome.ERROR, 5);
+        assertEquals(1, gateway.attemptsOf("r")); // no usable host shares the scope
+        gateway.hostsUpdated(HostListKind.CHANGES, List.of(host(outsideSubset, zone, 9)));
+        assertFalse(ids(gateway.loadBalancer().subset()).contains(outsideSubset));
+        assertEquals(2, gateway.attemptsOf("r"));
+        assertEquals(outsideSubset, gateway.lastHostOf("r"));
     }
 
     @Test
-    void retryWithAKeyOfTheZoneFindsTheOnlyHostOfTheZoneAmongVeryMany() {
-        assertRetryFindsTheHostOfItsPlace(DeduplicationScope.ZONE, "rare");
+    void aRetryWithZoneScopeFindsTheOnlyHostInTheZoneAmongVeryMany() {
+        assertRetryFindsTheOnlyHostInScope(DeduplicationScope.ZONE, "rare");
     }
 
     @Test
-    void retryWithAKeyOfTheCellFindsTheOnlyHostOfTheCellAmongVeryMany() {
-        assertRetryFindsTheHostOfItsPlace(DeduplicationScope.CELL, "far");
+    void aRetryWithCellScopeFindsTheOnlyHostInTheCellAmongVeryMany() {
+        assertRetryFindsTheOnlyHostInScope(DeduplicationScope.CELL, "far");
     }
 
-    /** A gateway among the 4,200 to come. */
-    private static PolicyHarness oneOfMany(List<Host> hosts) {
-        PolicyHarness g = new PolicyHarness(1_000_000, PolicyHarness.settings(17, 4200, 5));
-        g.hostsUpdated(HostListKind.FULL, hosts);
-        return g;
+    /** Creates one gateway of a fleet of 4,200. */
+    private static PolicyHarness gatewayInFleetOf4200(List<Host> hosts) {
+        PolicyHarness gateway = new PolicyHarness(1_000_000, PolicyHarness.settings(17, 4200, 5));
+        gateway.hostsUpdated(HostListKind.FULL, hosts);
+        return gateway;
     }
 
     @Test
-    void whereTheWholeSubsetIsInSlowStartARequestComparesAThousandOthersAtMost() {
-        PolicyHarness g = oneOfMany(hosts(20_000));
-        g.hostsUpdated(
+    void ifTheWholeSubsetIsInSlowStartARequestVisitsAtMost1024OtherEndpoints() {
+        PolicyHarness gateway = gatewayInFleetOf4200(hosts(20_000));
+        gateway.hostsUpdated(
                 HostListKind.CHANGES,
-                g.loadBalancer().subset().stream()
-                        .map(s -> new Host(s.host().id(), "z1", "std", 0, HostState.RUNNING, 1, g.now()))
+                gateway.loadBalancer().subset().stream()
+                        .map(endpoint -> new Host(endpoint.host().id(), "z1", "std", 0, HostState.RUNNING, 1, gateway.now()))
                         .toList());
         List<Double> visited = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            long before = g.loadBalancer().table().visited();
-            g.request("r" + i, "read");
-            visited.add((double) (g.loadBalancer().table().visited() - before));
-            assertEquals(1, g.attemptsOf("r" + i));
-            g.endAttempt("r" + i, 0, Outcome.OK, 5);
+            long before = gateway.loadBalancer().table().visited();
+            gateway.request("r" + i, "read");
+            visited.add((double) (gateway.loadBalancer().table().visited() - before));
+            assertEquals(1, gateway.attemptsOf("r" + i));
+            gateway.endAttempt("r" + i, 0, Outcome.OK, 5);
         }
-        assertTrue(visited.stream().allMatch(t -> t <= 1024), visited.toString());
-        assertTrue(visited.stream().anyMatch(t -> t > 0), visited.toString());
+        assertTrue(visited.stream().allMatch(count -> count <= 1024), visited.toString());
+        assertTrue(visited.stream().anyMatch(count -> count > 0), visited.toString());
     }
 
-    /** Hosts compared, copied or visited for a change, on the mean of hosts that go and return. */
-    private static double visitedByAChange(int count) {
-        PolicyHarness g = oneOfMany(hosts(count));
+    /** Returns the mean number of endpoints visited per change, for hosts that leave and return. */
+    private static double meanVisitedPerChange(int hostCount) {
+        PolicyHarness gateway = gatewayInFleetOf4200(hosts(hostCount));
         Random random = new Random(1);
         int changes = 4000;
-        long before = g.loadBalancer().table().visited();
+        long before = gateway.loadBalancer().table().visited();
         for (int i = 0; i < changes / 2; i++) {
-            int number = random.nextInt(count);
-            g.hostsUpdated(
+            int number = random.nextInt(hostCount);
+            gateway.hostsUpdated(
                     HostListKind.CHANGES,
                     List.of(new Host("h" + number, "z" + number % 4, "std", 0, HostState.GONE, 1, 0)));
-            g.hostsUpdated(HostListKind.CHANGES, List.of(PolicyHarness.host("h" + number, "z" + number % 4)));
+            gateway.hostsUpdated(HostListKind.CHANGES, List.of(PolicyHarness.host("h" + number, "z" + number % 4)));
         }
-        return (g.loadBalancer().table().visited() - before) / (double) changes;
+        return (gateway.loadBalancer().table().visited() - before) / (double) changes;
     }
 
     @Test
-    void aChangeAmong160000HostsVisitsLittleMoreThanAmong10000() {
-        double few = visitedByAChange(10_000);
-        double many = visitedByAChange(160_000);
-        assertTrue(many <= 1.5 * few, many + " hosts visited beside " + few);
+    void aChangeAmong160000HostsVisitsAtMostHalfMoreEndpointsThanAmong10000() {
+        double visitedAmongFew = meanVisitedPerChange(10_000);
+        double visitedAmongMany = meanVisitedPerChange(160_000);
+        assertTrue(
+                visitedAmongMany <= 1.5 * visitedAmongFew,
+                visitedAmongMany + " endpoints visited among 160000 hosts, " + visitedAmongFew + " among 10000");
     }
 
     @Test
-    void anIdleSecondVisitsNoMoreThanTheSubset() {
-        PolicyHarness g = oneOfMany(hosts(160_000));
-        g.advance(20_000);
-        long before = g.loadBalancer().table().visited();
-        g.advance(1000);
-        long visited = g.loadBalancer().table().visited() - before;
+    void anIdleSecondVisitsAtMostFourTimesTheSubset() {
+        PolicyHarness gateway = gatewayInFleetOf4200(hosts(160_000));
+        gateway.advance(20_000);
+        long before = gateway.loadBalancer().table().visited();
+        gateway.advance(1000);
+        long visited = gateway.loadBalancer().table().visited() - before;
         assertTrue(
-                visited <= 4L * g.loadBalancer().subset().size(),
-                visited + " for " + g.loadBalancer().subset().size() + " subset");
+                visited <= 4L * gateway.loadBalancer().subset().size(),
+                visited + " endpoints visited with a subset of " + gateway.loadBalancer().subset().size());
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
@@ -18,51 +18,52 @@
         return new Endpoint(new Host(id, "a", "std", 0, HostState.RUNNING, 1, 0));
     }
 
-    private static double[] inflight(double requests) {
-        return new double[] {0.5, requests};
+    /** Returns a load report with these requests in flight. */
+    private static double[] report(double requestsInFlight) {
+        return new double[] {0.5, requestsInFlight};
     }
 
     @Test
-    void anEndpointWithoutAReportIsNotCorrected() {
-        Endpoint silent = endpoint("silent");
-        reports.record(0, endpoint("other"), inflight(9));
-        assertEquals(1, reports.correction(0, silent));
+    void theCorrectionIsOneWithoutAReport() {
+        Endpoint notReporting = endpoint("notReporting");
+        reports.record(0, endpoint("other"), report(9));
+        assertEquals(1, reports.correction(0, notReporting));
     }
 
     @Test
-    void anEndpointThatHoldsLessThanOthersGetsMoreWithinBounds() {
+    void lessLoadThanTheMeanRaisesTheCorrectionAndMoreLoadLowersItWithinBounds() {
         Endpoint busy = endpoint("busy");
         Endpoint idle = endpoint("idle");
         for (int i = 0; i < 200; i++) {
-            reports.record(0, busy, inflight(20));
-            reports.record(0, idle, inflight(0));
+            reports.record(0, busy, report(20));
+            reports.record(0, idle, report(0));
         }
         assertEquals(1.5, reports.correction(0, idle), 1e-9);
         assertEquals(1 / 1.5, reports.correction(0, busy), 1e-9);
     }
 
     @Test
-    void theLoadOfAnEndpointInSlowStartCountsForWhatItCanDo() {
+    void theLoadOfAnEndpointInSlowStartIsComparedToItsCapacity() {
         Endpoint warm = endpoint("warm");
-        Endpoint cold = endpoint("cold");
-        cold.restarted(1000, 0);
+        Endpoint warmingUp = endpoint("warmingUp");
+        warmingUp.restarted(1000, 0);
         for (int i = 0; i < 200; i++) {
-            reports.record(1000, warm, inflight(10));
-            reports.record(1000, cold, inflight(2)); // a fifth of its capacity
+            reports.record(1000, warm, report(10));
+            reports.record(1000, warmingUp, report(2)); // it has a fifth of its full capacity
         }
         assertEquals(1, reports.correction(1000, warm), 1e-3);
-        assertEquals(1, reports.correction(1000, cold), 1e-3);
+        assertEquals(1, reports.correction(1000, warmingUp), 1e-3);
     }
 
     @Test
-    void aReportWithoutTheFieldIsIgnored() {
-        Endpoint brief = endpoint("brief");
-        reports.record(0, brief, new double[] {0.5});
-        assertFalse(brief.hasReportedLoad());
-        LoadReports without = new LoadReports(List.of("util"), slowStart);
-        without.record(0, brief, inflight(3));
-        assertFalse(brief.hasReportedLoad());
-        reports.record(0, brief, inflight(3));
-        assertTrue(brief.hasReportedLoad());
+    void aReportWithoutRequestsInFlightIsIgnored() {
+        Endpoint endpoint = endpoint("h");
+        reports.record(0, endpoint, new double[] {0.5});
+        assertFalse(endpoint.hasReportedLoad());
+        LoadReports reportsWithoutField = new LoadReports(List.of("util"), slowStart);
+        reportsWithoutField.record(0, endpoint, report(3));
+        assertFalse(endpoint.hasReportedLoad());
+        reports.record(0, endpoint, report(3));
+        assertTrue(endpoint.hasReportedLoad());
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/OutlierDetectorTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/OutlierDetectorTest.java
@@ -25,58 +25,58 @@
         return new RequestClass(name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1000, 3000, 1, 0, false);
     }
 
-    private void ends(RequestClass requestClass, Outcome outcome, double latencyMs) {
+    private void recordResult(RequestClass requestClass, Outcome outcome, double latencyMs) {
         AttemptResult result = new AttemptResult("r", 0, "h", outcome, latencyMs, false, 0, 0, new double[0]);
         detector.recordResult(0, endpoint, requestClass, 10, result);
     }
 
     @Test
-    void answersInTheExpectedTimeLeaveAnEndpointAsGoodAsAnyOther() {
-        for (int i = 0; i < 50; i++) ends(READ, Outcome.OK, 10);
+    void responsesWithTheExpectedLatencyAddNoPenalty() {
+        for (int i = 0; i < 50; i++) recordResult(READ, Outcome.OK, 10);
         assertEquals(1, endpoint.latencyPenalty(0, "read"), 1e-9);
     }
 
     @Test
-    void slowAnswersRaiseThePenaltyOfAllClasses() {
-        for (int i = 0; i < 50; i++) ends(READ, Outcome.OK, 30);
+    void slowResponsesRaiseThePenaltyOfAllClasses() {
+        for (int i = 0; i < 50; i++) recordResult(READ, Outcome.OK, 30);
         assertEquals(3, endpoint.latencyPenalty(0, "pay"), 0.01);
     }
 
     @Test
-    void errorsOfOneClassTellNothingOfTheOthers() {
-        for (int i = 0; i < 10; i++) ends(READ, Outcome.ERROR, 10);
+    void errorsOfOneClassDoNotRaiseThePenaltyOfOthers() {
+        for (int i = 0; i < 10; i++) recordResult(READ, Outcome.ERROR, 10);
         assertTrue(endpoint.latencyPenalty(0, "read") > 10);
         assertEquals(1, endpoint.latencyPenalty(0, "pay"));
     }
 
     @Test
-    void errorsOfTwoClassesRaiseThePenaltyOfAll() {
-        ends(READ, Outcome.ERROR, 10);
+    void errorsOfTwoClassesRaiseThePenaltyOfAllClasses() {
+        recordResult(READ, Outcome.ERROR, 10);
         assertEquals(1, endpoint.latencyPenalty(0));
-        ends(PAY, Outcome.TIMEOUT, 10);
+        recordResult(PAY, Outcome.TIMEOUT, 10);
         assertTrue(endpoint.latencyPenalty(0) > 4);
     }
 
     @Test
-    void refusedConnectionsEjectAnEndpointAtTheSecondOne() {
-        ends(READ, Outcome.CONNECT_FAILED, 0);
+    void theSecondConnectionFailureInARowEjectsAnEndpoint() {
+        recordResult(READ, Outcome.CONNECT_FAILED, 0);
         assertTrue(endpoint.latencyPenalty(0) < OutlierScore.EJECTION_PENALTY);
-        ends(READ, Outcome.CONNECT_FAILED, 0);
+        recordResult(READ, Outcome.CONNECT_FAILED, 0);
         assertEquals(OutlierScore.MAX_PENALTY, endpoint.latencyPenalty(0), 1e-9);
     }
 
     @Test
-    void aCancelledAttemptTellsNothing() {
-        ends(READ, Outcome.CANCELLED, 10);
+    void aCancelledAttemptIsNotScored() {
+        recordResult(READ, Outcome.CANCELLED, 10);
         assertTrue(endpoint.isUntried());
     }
 
     @Test
-    void onlyUsableEndpointsUnderObservationCountAsEjectedOrMissing() {
+    void onlyUsableEndpointsUnderObservationCountAsEjectedOrAsMissingCapacity() {
         SlowStart slowStart = new SlowStart(new Rules(8, 500, 2, 1000, 0.2, 10_000, 0));
-        for (int i = 0; i < 2; i++) ends(READ, Outcome.CONNECT_FAILED, 0);
+        for (int i = 0; i < 2; i++) recordResult(READ, Outcome.CONNECT_FAILED, 0);
         detector.observe(endpoint);
-        assertEquals(0, detector.ejectedCount(0)); // it is not listed
+        assertEquals(0, detector.ejectedCount(0)); // not listed, so not usable
         endpoint.setListed(true);
         assertEquals(1, detector.ejectedCount(0));
         assertEquals(1, detector.missingCapacity(0, slowStart), 1e-9);
--- a/src/test/java/caperrudder/policy/loadbalancing/OutlierScoreTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/OutlierScoreTest.java
@@ -12,13 +12,13 @@
     private final OutlierScore score = new OutlierScore();
 
     @Test
-    void withoutAnObservationThereIsNoPenalty() {
+    void aNewScoreHasNoPenaltyAndNoFailures() {
         assertEquals(1, score.latencyPenalty(1e6));
         assertFalse(score.hasFailures());
     }
 
     @Test
-    void aFirstFailureCountsLittleAndAFurtherOneInFull() {
+    void theFirstFailureGetsALowWeightAndTheNextOneTheGivenGain() {
         score.recordFailure(GAIN, 0);
         assertEquals(1 + 0.1 * 11, score.latencyPenalty(0), 1e-9);
         score.recordFailure(GAIN, 0);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void afterClearedFailuresTheNextOneIsAFirstOneAgain() {
+    void afterFailuresAreClearedTheNextOneCountsAsTheFirst() {
         score.recordFailure(GAIN, 0);
         score.clearFailures();
         double before = score.latencyPenalty(0);
@@ -36,20 +36,20 @@
     }
 
     @Test
-    void anObservedPenaltyIsBelievedUpToTwelve() {
+    void anObservedPenaltyIsLimitedToTheMaximum() {
         score.record(1000, 1, 0);
         assertEquals(12, score.latencyPenalty(0), 1e-9);
     }
 
     @Test
-    void aPenaltyThatIsNotConfirmedDecays() {
+    void withoutObservationsThePenaltyDecaysToOne() {
         score.record(5, 1, 0);
         assertEquals(1 + 4 / Math.E, score.latencyPenalty(6000), 1e-9);
         assertEquals(1, score.latencyPenalty(1e6), 1e-9);
     }
 
     @Test
-    void aSnapshotRestoresThePenaltyWithinItsBoundsAndNotInTheFuture() {
+    void restoringLimitsThePenaltyToTheMaximumAndTheUpdateTimeToNow() {
         score.restore(new HealthSnapshot("h", "", 50, 900, 2), 100);
         assertEquals(new HealthSnapshot("h", "read", 12, 100, 2), score.takeSnapshot("h", "read"));
     }
--- a/src/test/java/caperrudder/policy/loadbalancing/PlacementRequestTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/PlacementRequestTest.java
@@ -16,7 +16,7 @@
         return new Host("h-" + zone + cell, zone, "std", cell, HostState.RUNNING, 1, 0);
     }
 
-    /** An attempt may have run on a host of zone a, cell 1. */
+    /** The first attempt may have run on a host in zone a, cell 1. */
     @ParameterizedTest
     @CsvSource({
         "IDEMPOTENT, CELL, true, b, 2, true",
@@ -29,23 +29,23 @@
         "IDEMPOTENCY_KEY, ALL, true, b, 2, true",
         "IDEMPOTENCY_KEY, ALL, false, a, 1, false"
     })
-    void aRetryIsAllowedWhereARepeatIsHarmless(
+    void aRetryIsAllowedOnlyOnHostsWhereARepeatIsHarmless(
             Idempotency idempotency,
             DeduplicationScope scope,
             boolean repeatable,
             String zone,
             int cell,
             boolean allowed) {
-        RequestClass spec = new RequestClass("order", idempotency, scope, 1000, 1000, 3000, 1, 0, false);
-        PlacementRequest request = new PlacementRequest(spec, 10, repeatable, host("a", 1), List.of());
+        RequestClass requestClass = new RequestClass("order", idempotency, scope, 1000, 1000, 3000, 1, 0, false);
+        PlacementRequest request = new PlacementRequest(requestClass, 10, repeatable, host("a", 1), List.of());
         assertEquals(allowed, request.allows(new Endpoint(host(zone, cell))));
     }
 
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT", "IDEMPOTENCY_KEY", "NOT_IDEMPOTENT"})
     void aFirstAttemptIsAllowedOnAnyEndpoint(Idempotency idempotency) {
-        RequestClass spec = new RequestClass("pay", idempotency, DeduplicationScope.CELL, 0, 1000, 3000, 1, 0, false);
-        PlacementRequest request = new PlacementRequest(spec, 10, true, null, List.of());
+        RequestClass requestClass = new RequestClass("pay", idempotency, DeduplicationScope.CELL, 0, 1000, 3000, 1, 0, false);
+        PlacementRequest request = new PlacementRequest(requestClass, 10, true, null, List.of());
         assertEquals(true, request.allows(new Endpoint(host("b", 2))));
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
@@ -12,37 +12,37 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The order-statistics list beside a sorted set that is walked. */
+/** Compares the list with a sorted set as the reference. */
 class RankedEndpointsTest {
-    private static final int KEYS = 400; // few, so that many hosts share one
+    private static final int KEYS = 400; // far fewer than hosts, so that keys collide
 
     private static int key(String id) {
         return Math.floorMod(id.hashCode() * 31, KEYS) - KEYS / 2;
     }
 
-    private static List<String> ids(List<Endpoint> hosts) {
-        return hosts.stream().map(s -> s.id()).toList();
+    private static List<String> ids(List<Endpoint> endpoints) {
+        return endpoints.stream().map(endpoint -> endpoint.id()).toList();
     }
 
     @Test
-    void findsEndpointsByIdAndByRankAsASortedSetDoes() {
+    void findsAndCopiesTheSameEndpointsAsASortedSet() {
         Random random = new Random(3);
         Comparator<Endpoint> order =
-                Comparator.<Endpoint>comparingInt(s -> key(s.id())).thenComparing(s -> s.id());
+                Comparator.<Endpoint>comparingInt(endpoint -> key(endpoint.id())).thenComparing(endpoint -> endpoint.id());
         TreeSet<Endpoint> expected = new TreeSet<>(order);
         RankedEndpoints ranked = new RankedEndpoints();
         for (int step = 0; step < 40_000; step++) {
-            boolean grows = step / 10_000 % 2 == 0; // up to thousands, down to a few, and the same again
-            Endpoint s = new Endpoint(PolicyHarness.host("h" + random.nextInt(6000), "a"));
-            int key = key(s.id());
-            Endpoint known = ranked.find(key, s.id());
-            assertEquals(expected.contains(s), known != null);
+            boolean grows = step / 10_000 % 2 == 0; // grows and shrinks twice, between few and thousands
+            Endpoint endpoint = new Endpoint(PolicyHarness.host("h" + random.nextInt(6000), "a"));
+            int key = key(endpoint.id());
+            Endpoint known = ranked.find(key, endpoint.id());
+            assertEquals(expected.contains(endpoint), known != null);
             if (known == null && (grows || random.nextInt(4) == 0)) {
-                ranked.add(key, s);
-                expected.add(s);
+                ranked.add(key, endpoint);
+                expected.add(endpoint);
             } else if (known != null && (!grows || random.nextInt(4) == 0)) {
                 ranked.remove(key, known);
-                expected.remove(s);
+                expected.remove(endpoint);
             }
             assertEquals(expected.size(), ranked.size());
             if (step % 500 == 0) compare(ranked, new ArrayList<>(expected), random);
@@ -56,24 +56,24 @@
         for (int i = 0; i < 20 && !expected.isEmpty(); i++) {
             int from = random.nextInt(expected.size());
             int count = random.nextInt(1000);
-            List<Endpoint> some = new ArrayList<>();
-            ranked.copy(from, count, some);
-            assertEquals(ids(expected.subList(from, Math.min(expected.size(), from + count))), ids(some));
-            assertSame(some.isEmpty() ? ranked.at(from) : some.get(0), ranked.at(from));
+            List<Endpoint> copied = new ArrayList<>();
+            ranked.copy(from, count, copied);
+            assertEquals(ids(expected.subList(from, Math.min(expected.size(), from + count))), ids(copied));
+            assertSame(copied.isEmpty() ? ranked.at(from) : copied.get(0), ranked.at(from));
             int key = random.nextInt(KEYS) - KEYS / 2;
-            assertEquals(expected.stream().filter(s -> key(s.id()) < key).count(), ranked.rank(key));
+            assertEquals(expected.stream().filter(endpoint -> key(endpoint.id()) < key).count(), ranked.rank(key));
         }
     }
 
     @Test
-    void anEmptyListFindsNothing() {
+    void anEmptyOrEmptiedListContainsNoEndpoint() {
         RankedEndpoints ranked = new RankedEndpoints();
-        Endpoint s = new Endpoint(PolicyHarness.host("a1", "a"));
+        Endpoint endpoint = new Endpoint(PolicyHarness.host("a1", "a"));
         assertNull(ranked.find(1, "a1"));
         assertEquals(0, ranked.rank(Integer.MAX_VALUE));
-        ranked.add(1, s);
-        ranked.remove(1, s);
-        ranked.remove(1, s);
+        ranked.add(1, endpoint);
+        ranked.remove(1, endpoint);
+        ranked.remove(1, endpoint);
         assertEquals(0, ranked.size());
         assertNull(ranked.find(1, "a1"));
     }
--- a/src/test/java/caperrudder/policy/loadbalancing/SlowStartTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/SlowStartTest.java
@@ -10,43 +10,43 @@
 import org.junit.jupiter.api.Test;
 
 class SlowStartTest {
-    private static final double STARTED = 1000;
+    private static final double STARTED_AT_MS = 1000;
     private static final double SLOW_START_MS = 10_000;
     private final SlowStart slowStart = new SlowStart(new Rules(8, 500, 2, 1000, 0.2, SLOW_START_MS, 0));
-    private final Endpoint endpoint = new Endpoint(new Host("h", "a", "std", 0, HostState.RUNNING, 1, STARTED));
+    private final Endpoint endpoint = new Endpoint(new Host("h", "a", "std", 0, HostState.RUNNING, 1, STARTED_AT_MS));
 
     @Test
-    void anEndpointOfUnknownStartHasFullCapacity() {
+    void anEndpointWithoutAKnownStartHasFullCapacity() {
         assertEquals(1, slowStart.capacity(endpoint, 0));
         assertFalse(slowStart.isWarmingUp(endpoint, 0));
     }
 
     @Test
-    void capacityRisesEvenlyFromTheColdShareToTheFull() {
-        endpoint.restarted(STARTED, 0);
-        assertEquals(0.2, slowStart.capacity(endpoint, STARTED), 1e-9);
-        assertEquals(0.6, slowStart.capacity(endpoint, STARTED + SLOW_START_MS / 2), 1e-9);
-        assertTrue(slowStart.isWarmingUp(endpoint, STARTED + SLOW_START_MS - 1));
-        assertEquals(1, slowStart.capacity(endpoint, STARTED + SLOW_START_MS));
+    void capacityRisesLinearlyFromTheColdStartCapacityToTheFullOne() {
+        endpoint.restarted(STARTED_AT_MS, 0);
+        assertEquals(0.2, slowStart.capacity(endpoint, STARTED_AT_MS), 1e-9);
+        assertEquals(0.6, slowStart.capacity(endpoint, STARTED_AT_MS + SLOW_START_MS / 2), 1e-9);
+        assertTrue(slowStart.isWarmingUp(endpoint, STARTED_AT_MS + SLOW_START_MS - 1));
+        assertEquals(1, slowStart.capacity(endpoint, STARTED_AT_MS + SLOW_START_MS));
     }
 
     @Test
-    void aStartInTheFutureCountsAsNow() {
-        endpoint.restarted(STARTED, 0);
-        assertEquals(0.2, slowStart.capacity(endpoint, STARTED - 500), 1e-9);
+    void aStartInTheFutureGivesTheColdStartCapacity() {
+        endpoint.restarted(STARTED_AT_MS, 0);
+        assertEquals(0.2, slowStart.capacity(endpoint, STARTED_AT_MS - 500), 1e-9);
     }
 
     @Test
     void anEndpointEarnsItsAllowedShareOfTheRequests() {
-        endpoint.restarted(STARTED, 0);
+        endpoint.restarted(STARTED_AT_MS, 0);
         int earned = 0;
-        for (int i = 0; i < 1000; i++) if (slowStart.earnsRequest(endpoint, STARTED)) earned++;
+        for (int i = 0; i < 1000; i++) if (slowStart.earnsRequest(endpoint, STARTED_AT_MS)) earned++;
         assertEquals(1000 * 0.7 * 2 * 0.2, earned, 1);
     }
 
     @Test
-    void anUnearnedRequestIsPaidForLaterAndOneAtMost() {
-        endpoint.restarted(STARTED, 0.5);
+    void anUnearnedRequestReducesTheCreditDownToMinusOne() {
+        endpoint.restarted(STARTED_AT_MS, 0.5);
         slowStart.chargeRequest(endpoint);
         assertEquals(-0.5, endpoint.slowStartCredit(), 1e-9);
         slowStart.chargeRequest(endpoint);
