--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
@@ -65,7 +65,7 @@
     Endpoint pick(double now, PlacementRequest request) {
         Endpoint best = best(now, request, comparesWholeSubset() ? subset.endpoints() : sample(now, request), false);
         boolean warm = subset.isWarm(slowStart, now);
-        if (warm) random.nextDouble(); // replaces the draw of drawSlowStart
+        if (warm) random.nextDouble(); // keeps the random sequence in step with drawSlowStart
         Endpoint warmingUp = warm ? null : drawSlowStart(now, request);
         if (warmingUp != null && (best == null || warmingUp.isIdle())) return warmingUp;
         if (best != null) return best;
@@ -117,9 +117,9 @@
     }
 
     /**
-     * Draws an endpoint of the subset by weight, and credits it if it is in slow start. Returns it if it has then
-     * earned a request, otherwise null. Scores alone would leave endpoints in slow start idle, because in a large fleet
-     * this gateway's own attempts do not show how loaded the warm endpoints are.
+     * Draws an endpoint of the subset by weight, and credits it if it is in slow start and the request may use it.
+     * Returns it if it has then earned a request, otherwise null. Scores alone would leave endpoints in slow start
+     * idle, because in a large fleet this gateway's own attempts do not show how loaded the warm endpoints are.
      */
     private Endpoint drawSlowStart(double now, PlacementRequest request) {
         Endpoint drawn = drawByWeight(now, request.className());
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
@@ -52,15 +52,15 @@
      * segments.
      *
      * @param firstSegment the first segment, counted from 0
-     * @param segments the number of consecutive segments
-     * @param segmentCount the number of segments in the whole ring
+     * @param segmentsInArc the number of consecutive segments
+     * @param segmentsInRing the number of segments in the whole ring
      * @param minEndpoints if the segments contain fewer, the ones that follow are included up to this number
      * @return an unmodifiable list; the same instance as before if nothing has changed
      */
-    List<Endpoint> byArc(int firstSegment, int segments, int segmentCount, int minEndpoints) {
+    List<Endpoint> byArc(int firstSegment, int segmentsInArc, int segmentsInRing, int minEndpoints) {
         Arc requested = new Arc(
-                segmentStart(firstSegment, segmentCount),
-                segmentStart(firstSegment + segments, segmentCount),
+                segmentStart(firstSegment, segmentsInRing),
+                segmentStart(firstSegment + segmentsInArc, segmentsInRing),
                 minEndpoints);
         if (!changed && requested.equals(arc) && endpoints.size() >= minEndpoints) return endpoints;
         arc = requested;
@@ -70,8 +70,8 @@
         return select(first, Math.min(size, Math.max(minEndpoints, count)));
     }
 
-    private static int segmentStart(int segment, int segmentCount) {
-        return (int) (Integer.MIN_VALUE + ((long) (segment % segmentCount) << Integer.SIZE) / segmentCount);
+    private static int segmentStart(int segment, int segmentsInRing) {
+        return (int) (Integer.MIN_VALUE + ((long) (segment % segmentsInRing) << Integer.SIZE) / segmentsInRing);
     }
 
     /**
--- a/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
@@ -23,10 +23,10 @@
 
     /** Returns the share of its full capacity that an endpoint has now, by its last start: above 0, at most 1. */
     double capacity(Endpoint endpoint, double now) {
-        double elapsed = (now - endpoint.startedAtMs()) / slowStartMs;
-        return elapsed >= 1
+        double elapsedShare = (now - endpoint.startedAtMs()) / slowStartMs;
+        return elapsedShare >= 1
                 ? 1
-                : Math.max(MIN_CAPACITY_SHARE, coldStartCapacity + (1 - coldStartCapacity) * Math.max(0, elapsed));
+                : Math.max(MIN_CAPACITY_SHARE, coldStartCapacity + (1 - coldStartCapacity) * Math.max(0, elapsedShare));
     }
 
     /** Returns whether an endpoint has less than its full capacity because it has just started. */
