--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
@@ -153,13 +153,14 @@
      * requests by credit and are skipped here. With {@code includeSlowStart} each takes part with a probability of its
      * allowed share / the number of candidates.
      */
-    private Endpoint best(double now, PlacementRequest request, Collection<Endpoint> candidates, boolean includeSlowStart) {
+    private Endpoint best(
+            double now, PlacementRequest request, Collection<Endpoint> candidates, boolean includeSlowStart) {
         Endpoint best = null;
         double bestScore = Double.MAX_VALUE;
         for (Endpoint endpoint : candidates) {
             if (!endpoint.isUsable() || !request.allows(endpoint)) continue;
-            if (slowStart.isWarmingUp(endpoint, now) && (!includeSlowStart || !drawInclusion(now, endpoint, candidates.size())))
-                continue;
+            if (slowStart.isWarmingUp(endpoint, now)
+                    && (!includeSlowStart || !drawInclusion(now, endpoint, candidates.size()))) continue;
             double score = score(now, request, endpoint) * (1 + MAX_TIE_BREAK_RATIO * random.nextDouble());
             if (score < bestScore) best = endpoint;
             bestScore = Math.min(bestScore, score);
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierScore.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierScore.java
@@ -23,7 +23,9 @@
 
     /** Returns the penalty at {@code now}, from 0 to {@link #MAX_PENALTY}. */
     double latencyPenalty(double now) {
-        return latencyPenalty == 1 ? 1 : 1 + (latencyPenalty - 1) * Math.exp(-(now - updatedAtMs) / DECAY_TIME_CONSTANT_MS);
+        return latencyPenalty == 1
+                ? 1
+                : 1 + (latencyPenalty - 1) * Math.exp(-(now - updatedAtMs) / DECAY_TIME_CONSTANT_MS);
     }
 
     /** Records an observed penalty. {@code gain} is its weight, from 0 (none) to 1 (replaces the penalty). */
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -54,7 +54,9 @@
 
     private static List<String> usableIds(PolicyHarness gateway) {
         return ids(RankedEndpoints.copyCircular(
-                gateway.loadBalancer().table().usable(), 0, gateway.loadBalancer().table().usableCount()));
+                gateway.loadBalancer().table().usable(),
+                0,
+                gateway.loadBalancer().table().usableCount()));
     }
 
     /** A reference implementation of the table that scans and sorts all hosts at every change. */
@@ -67,7 +69,8 @@
         private double capacity;
 
         void hostsUpdated(HostListKind kind, List<Host> hosts) {
-            if (kind != HostListKind.CHANGES) all.replaceAll((id, known) -> new KnownHost(known.host(), false, known.startedAtMs()));
+            if (kind != HostListKind.CHANGES)
+                all.replaceAll((id, known) -> new KnownHost(known.host(), false, known.startedAtMs()));
             for (Host host : hosts) {
                 KnownHost known = all.get(host.id());
                 double startedAtMs = known == null ? Double.NEGATIVE_INFINITY : known.startedAtMs();
@@ -86,15 +89,20 @@
                             && gateway.loadBalancer().table().find(known.host().id()) == null);
             List<KnownHost> usable = all.values().stream()
                     .filter(known -> known.listed() && known.host().state() == HostState.RUNNING)
-                    .sorted(Comparator.<KnownHost>comparingInt(known -> known.host().id().hashCode())
+                    .sorted(Comparator.<KnownHost>comparingInt(
+                                    known -> known.host().id().hashCode())
                             .thenComparing(known -> known.host().id()))
                     .toList();
             usableIds = usable.stream().map(known -> known.host().id()).toList();
             capacity = usable.stream()
-                    .mapToDouble(known ->
-                            penalty(now, gateway.loadBalancer().table().find(known.host().id())) < 4
-                                    ? capacityShare(now, known.startedAtMs())
-                                    : 0)
+                    .mapToDouble(known -> penalty(
+                                            now,
+                                            gateway.loadBalancer()
+                                                    .table()
+                                                    .find(known.host().id()))
+                                    < 4
+                            ? capacityShare(now, known.startedAtMs())
+                            : 0)
                     .sum();
             subsetIds.clear();
             int subsetSize = Math.max(8, 6 * usableIds.size() / gatewayCount);
@@ -140,9 +148,11 @@
             boolean fullList = step == 0 || random.nextInt(40) == 0;
             List<Host> listed = new ArrayList<>();
             for (int i = fullList ? 0 : random.nextInt(4); i < (fullList ? hostCount : 3); i++) {
-                HostState state = HostState.values()[Math.max(0, random.nextInt(fullList ? 12 : 5) - (fullList ? 9 : 2))];
+                HostState state =
+                        HostState.values()[Math.max(0, random.nextInt(fullList ? 12 : 5) - (fullList ? 9 : 2))];
                 double startedMs = random.nextInt(3) == 0 ? gateway.now() - random.nextInt(15_000) : 0;
-                listed.add(host(random.nextInt(hostCount), state, startedMs, "z" + random.nextInt(3), random.nextInt(5)));
+                listed.add(
+                        host(random.nextInt(hostCount), state, startedMs, "z" + random.nextInt(3), random.nextInt(5)));
             }
             HostListKind kind =
                     fullList ? random.nextBoolean() ? HostListKind.FULL : HostListKind.CACHED : HostListKind.CHANGES;
@@ -169,7 +179,9 @@
         assertEquals(reference.subsetIds, ids(gateway.loadBalancer().subset()));
         assertEquals(reference.capacity, gateway.loadBalancer().capacity(), 1e-9);
         assertEquals(
-                reference.all.values().stream().filter(ReferenceTable.KnownHost::listed).count(),
+                reference.all.values().stream()
+                        .filter(ReferenceTable.KnownHost::listed)
+                        .count(),
                 gateway.loadBalancer().clusterHealth(gateway.now()).size());
     }
 
@@ -202,7 +214,8 @@
             gateway.hostsUpdated(HostListKind.CHANGES, List.of(host));
             Set<String> after = new HashSet<>(ids(gateway.loadBalancer().subset()));
             int added = (int) after.stream().filter(id -> !before.contains(id)).count();
-            int removed = (int) before.stream().filter(id -> !after.contains(id)).count();
+            int removed =
+                    (int) before.stream().filter(id -> !after.contains(id)).count();
             changes = new SubsetChanges(
                     Math.max(changes.mostAdded, added),
                     Math.max(changes.mostRemoved, removed),
@@ -336,7 +349,8 @@
         gateway.hostsUpdated(
                 HostListKind.CHANGES,
                 gateway.loadBalancer().subset().stream()
-                        .map(endpoint -> new Host(endpoint.host().id(), "z1", "std", 0, HostState.RUNNING, 1, gateway.now()))
+                        .map(endpoint ->
+                                new Host(endpoint.host().id(), "z1", "std", 0, HostState.RUNNING, 1, gateway.now()))
                         .toList());
         List<Double> visited = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -384,6 +398,7 @@
         long visited = gateway.loadBalancer().table().visited() - before;
         assertTrue(
                 visited <= 4L * gateway.loadBalancer().subset().size(),
-                visited + " endpoints visited with a subset of " + gateway.loadBalancer().subset().size());
+                visited + " endpoints visited with a subset of "
+                        + gateway.loadBalancer().subset().size());
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/PlacementRequestTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/PlacementRequestTest.java
@@ -44,7 +44,8 @@
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT", "IDEMPOTENCY_KEY", "NOT_IDEMPOTENT"})
     void aFirstAttemptIsAllowedOnAnyEndpoint(Idempotency idempotency) {
-        RequestClass requestClass = new RequestClass("pay", idempotency, DeduplicationScope.CELL, 0, 1000, 3000, 1, 0, false);
+        RequestClass requestClass =
+                new RequestClass("pay", idempotency, DeduplicationScope.CELL, 0, 1000, 3000, 1, 0, false);
         PlacementRequest request = new PlacementRequest(requestClass, 10, true, null, List.of());
         assertEquals(true, request.allows(new Endpoint(host("b", 2))));
     }
--- a/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
@@ -27,8 +27,8 @@
     @Test
     void findsAndCopiesTheSameEndpointsAsASortedSet() {
         Random random = new Random(3);
-        Comparator<Endpoint> order =
-                Comparator.<Endpoint>comparingInt(endpoint -> key(endpoint.id())).thenComparing(endpoint -> endpoint.id());
+        Comparator<Endpoint> order = Comparator.<Endpoint>comparingInt(endpoint -> key(endpoint.id()))
+                .thenComparing(endpoint -> endpoint.id());
         TreeSet<Endpoint> expected = new TreeSet<>(order);
         RankedEndpoints ranked = new RankedEndpoints();
         for (int step = 0; step < 40_000; step++) {
@@ -61,7 +61,11 @@
             assertEquals(ids(expected.subList(from, Math.min(expected.size(), from + count))), ids(copied));
             assertSame(copied.isEmpty() ? ranked.at(from) : copied.get(0), ranked.at(from));
             int key = random.nextInt(KEYS) - KEYS / 2;
-            assertEquals(expected.stream().filter(endpoint -> key(endpoint.id()) < key).count(), ranked.rank(key));
+            assertEquals(
+                    expected.stream()
+                            .filter(endpoint -> key(endpoint.id()) < key)
+                            .count(),
+                    ranked.rank(key));
         }
     }
 
