--- a/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
@@ -6,17 +6,18 @@
 import java.util.function.Predicate;
 
 /**
- * The queue of one traffic class, its virtual time and the pace at which it drains. Confined to the policy's thread.
+ * The queue of one traffic class, with its virtual time and the rate at which it drains. Confined to the policy's
+ * thread.
  */
 final class ClassQueue<R extends Schedulable> {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
-    private static final double GAP_GAIN = 0.1; // weight of one dispatch in the mean gap between dispatches
+    private static final double DISPATCH_GAP_GAIN = 0.1; // weight of one sample in the moving average
 
     private final TrafficClass trafficClass;
     private final ArrayDeque<R> queue = new ArrayDeque<>();
-    private double virtualTime; // work dispatched, in milliseconds, over the class's weight
-    private double dispatchedAt = NEVER; // the last dispatch, while others have been waiting since
-    private double dispatchGapMs; // moving average while the queue is backlogged
+    private double virtualTime; // dispatched work in milliseconds, divided by the class's weight
+    private double lastDispatchAt = NEVER; // NEVER if that dispatch emptied the queue
+    private double dispatchGapMs; // moving average of the time between dispatches from a backlogged queue
 
     ClassQueue(TrafficClass trafficClass) {
         this.trafficClass = trafficClass;
@@ -30,12 +31,16 @@
         return queue.isEmpty();
     }
 
-    /** Appends; a class that has been idle saves up no turns from before {@code schedulerTime}. */
-    void addLast(R request, double schedulerTime) {
-        if (queue.isEmpty()) virtualTime = Math.max(virtualTime, schedulerTime);
+    /**
+     * Appends a request. If the queue was empty, the virtual time of the class is raised to that of the scheduler, so that
+     * a class earns no credit while it is idle.
+     */
+    void addLast(R request, double schedulerVirtualTime) {
+        if (queue.isEmpty()) virtualTime = Math.max(virtualTime, schedulerVirtualTime);
         queue.addLast(request);
     }
 
+    /** Inserts a request at the head. */
     void addFirst(R request) {
         queue.addFirst(request);
     }
@@ -44,10 +49,12 @@
         queue.remove(request);
     }
 
+    /** Iterates over the queued requests, head first. */
     Iterator<R> iterator() {
         return queue.iterator();
     }
 
+    /** Returns a copy of the queued requests that meet a condition, head first. */
     List<R> matching(Predicate<R> condition) {
         return queue.stream().filter(condition).toList();
     }
@@ -56,13 +63,16 @@
     void noteDispatched(double now, R request) {
         virtualTime += request.expectedWorkMs() / trafficClass.weight().weight();
         boolean backlogged = !queue.isEmpty();
-        if (backlogged && dispatchedAt > NEVER) {
-            dispatchGapMs += GAP_GAIN * (now - dispatchedAt - dispatchGapMs);
+        if (backlogged && lastDispatchAt > NEVER) {
+            dispatchGapMs += DISPATCH_GAP_GAIN * (now - lastDispatchAt - dispatchGapMs);
         }
-        dispatchedAt = backlogged ? now : NEVER;
+        lastDispatchAt = backlogged ? now : NEVER;
     }
 
-    /** Time in which all that waits now will have been dispatched, by the recent pace. */
+    /**
+     * Returns the estimated time in milliseconds until all requests now in the queue are dispatched, from the recent
+     * dispatch rate.
+     */
     double drainTimeMs() {
         return queue.size() * dispatchGapMs;
     }
--- a/src/main/java/caperrudder/policy/scheduling/ClassWeight.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassWeight.java
@@ -1,126 +1,136 @@
 package caperrudder.policy.scheduling;
 
 /**
- * The scheduling weight of one traffic class and what the weight controller measures of it: the class's delay,
- * smoothed, and the slope by which the delay falls as the weight grows (DESIGN: Delay). The weights of all classes sum
- * to one. Delays are milliseconds. Confined to the policy's thread.
+ * The scheduling weight of one traffic class, with the measurements that the weight controller needs: the smoothed
+ * delay of the class, and the slope by which this delay falls as the weight grows (DESIGN: Delay). The weights of all
+ * classes sum to one. Delays are in milliseconds. Confined to the policy's thread.
  */
 final class ClassWeight {
-    /** Least weight, as a share of all: no class starves. */
+    /** Minimum weight, as a share of the sum of all weights, so that no class starves. */
     static final double MIN = 0.02;
 
-    /** Half-width of the band about the goal in which a class is content; the paper's epsilon. */
+    /** Relative tolerance about the delay goal within which a class keeps its weight; epsilon in page PAPER. */
     static final double EPSILON = 0.1;
 
-    private static final double ALPHA = 0.7; // weight of the old delay average; the paper's alpha
-    private static final double GOAL_SHARE = 0.6; // share of the latency objective that a class's mean delay may take
-    private static final double FIRST_STEP = 0.05; // of all weight: the step before a slope is known
-    private static final double MIN_STEP = 1e-6; // a smaller change of weight tells nothing of the slope
+    private static final double DELAY_RETENTION = 0.7; // of the smoothed delay at each tick; alpha in page PAPER
+    private static final double GOAL_OBJECTIVE_SHARE = 0.6; // delay goal as a share of the latency objective
+    private static final double INITIAL_WEIGHT_STEP = 0.05; // until a slope is known
+    private static final double MIN_SLOPE_WEIGHT_CHANGE = 1e-6; // too small a change yields no slope
 
     private final double goalMs;
     private double weight;
-    private double delayMs; // smoothed; 0 before the first tick with requests
-    private double tickDelayMs; // sum over the requests of the current tick
-    private int tickRequests;
-    private double slope; // magnitude: delay lost for each unit of weight gained; 0 while not known
-    private double markedDelayMs; // when the slope was last measured
-    private double markedWeight;
+    private double delayMs; // exponential moving average over ticks; 0 before the first tick with requests
+    private double tickDelaySumMs; // over the requests of the current tick
+    private int tickRequestCount;
+    private double slope; // decrease of the delay in milliseconds per unit of weight gained; 0 while unknown
+    private double previousDelayMs; // at the last measurement of the slope
+    private double previousWeight; // at the last measurement of the slope
 
     ClassWeight(double objectiveMs, double weight) {
-        this.goalMs = objectiveMs * GOAL_SHARE;
+        this.goalMs = objectiveMs * GOAL_OBJECTIVE_SHARE;
         this.weight = weight;
     }
 
-    /** Counts a request that left the queue after so long. */
-    void noteHold(double holdMs) {
-        tickDelayMs += holdMs;
-        tickRequests++;
+    /** Records the queue delay of a request that has left the queue. */
+    void noteHold(double queueDelayMs) {
+        tickDelaySumMs += queueDelayMs;
+        tickRequestCount++;
     }
 
-    /** Adds the latency of a successful attempt to its request's delay; one of no latency counts as a request. */
+    /**
+     * Adds the latency of a successful attempt to the delay of its request, which was counted when it left the queue. A
+     * latency that is not positive counts as one more request.
+     */
     void noteLatency(double latencyMs) {
-        tickDelayMs += latencyMs;
-        if (!(latencyMs > 0)) tickRequests++;
+        tickDelaySumMs += latencyMs;
+        if (!(latencyMs > 0)) tickRequestCount++;
     }
 
-    /** Takes the mean delay of the tick into the smoothed one, and begins the next tick. */
+    /** Adds the tick's mean delay to the smoothed delay and starts the next tick. */
     void endTick() {
-        if (tickRequests > 0) {
-            double mean = tickDelayMs / tickRequests;
-            delayMs = delayMs == 0 ? mean : ALPHA * delayMs + (1 - ALPHA) * mean;
+        if (tickRequestCount > 0) {
+            double meanMs = tickDelaySumMs / tickRequestCount;
+            delayMs = delayMs == 0 ? meanMs : DELAY_RETENTION * delayMs + (1 - DELAY_RETENTION) * meanMs;
         }
-        tickDelayMs = 0;
-        tickRequests = 0;
+        tickDelaySumMs = 0;
+        tickRequestCount = 0;
     }
 
-    /** Slopes are negative; a near-nought or wrongly signed one leaves the last good magnitude in place. */
+    /**
+     * Measures the slope from the changes of weight and delay since the last call. Keeps the previous slope if the weight
+     * has hardly changed, or if the delay has not clearly moved in the opposite direction.
+     */
     void measureSlope() {
-        double gained = weight - markedWeight;
-        if (markedWeight > 0 && Math.abs(gained) > MIN_STEP) {
-            double magnitude = -(delayMs - markedDelayMs) / gained;
-            if (magnitude > goalMs * EPSILON) slope = magnitude;
+        double weightGain = weight - previousWeight;
+        if (previousWeight > 0 && Math.abs(weightGain) > MIN_SLOPE_WEIGHT_CHANGE) {
+            double measured = -(delayMs - previousDelayMs) / weightGain;
+            if (measured > goalMs * EPSILON) slope = measured;
         }
-        markedWeight = weight;
-        markedDelayMs = delayMs;
+        previousWeight = weight;
+        previousDelayMs = delayMs;
     }
 
-    /** The delay as a multiple of its goal. */
+    /** Returns the smoothed delay divided by its goal. */
     double delayRatio() {
         return delayMs / goalMs;
     }
 
-    /** Whether the class needs more weight: its delay lies above the band about its goal. */
+    /** Whether the class needs more weight, because its delay exceeds the goal by more than the tolerance. */
     boolean isUnderweight() {
         return delayRatio() >= 1 + EPSILON;
     }
 
-    /** Weight that would bring the delay of an underweight class to its goal. */
+    /** Returns the weight to add so that the delay of an underweight class falls to its goal. */
     double wantedWeight() {
-        return slope > 0 ? (delayMs - goalMs) / slope : FIRST_STEP;
+        return slope > 0 ? (delayMs - goalMs) / slope : INITIAL_WEIGHT_STEP;
     }
 
-    /** Weight that the class could lose before its delay reaches its goal; 0 where it is not overweight. */
+    /** Returns the weight that the class could lose before its delay reaches the goal, or 0 if it is not overweight. */
     double surplus() {
         if (delayMs > (1 - EPSILON) * goalMs) return 0;
         return (goalMs - delayMs) / (slope > 0 ? slope : goalMs);
     }
 
-    /** Most weight that an overweight class may lose and stay below the band about its goal. */
+    /** Returns the weight that an overweight class can lose before its delay reaches the tolerance below the goal. */
     double largestGift() {
-        return slope > 0 ? ((1 - EPSILON) * goalMs - delayMs) / slope : FIRST_STEP;
+        return slope > 0 ? ((1 - EPSILON) * goalMs - delayMs) / slope : INITIAL_WEIGHT_STEP;
     }
 
-    /** Gives weight away, as far as the least weight stays; returns what it gave. */
+    /** Gives up the wanted weight, but keeps the minimum; returns the weight that was given up. */
     double give(double wanted) {
-        double gift = Math.max(0, Math.min(wanted, weight - MIN));
-        weight -= gift;
-        return gift;
+        double donated = Math.max(0, Math.min(wanted, weight - MIN));
+        weight -= donated;
+        return donated;
     }
 
-    void receive(double gift) {
-        weight += gift;
+    /** Adds weight that other classes gave up. */
+    void receive(double donated) {
+        weight += donated;
     }
 
-    /** Takes over what another process had learned. */
+    /** Restores the state that the predecessor saved. */
     void restore(double restoredWeight, double restoredDelayMs, double restoredSlope) {
         weight = restoredWeight;
         delayMs = restoredDelayMs;
         slope = restoredSlope;
     }
 
-    /** Share of the dispatched work that the class is entitled to, from {@link #MIN} to 1. */
+    /** Returns the share of the dispatched work that the class is entitled to, from {@link #MIN} to 1. */
     double weight() {
         return weight;
     }
 
+    /** Returns the smoothed delay, or 0 before the first request. */
     double delayMs() {
         return delayMs;
     }
 
+    /** Returns the decrease of the delay in milliseconds per unit of weight gained, or 0 while unknown. */
     double slope() {
         return slope;
     }
 
+    /** Returns the mean delay that the class should not exceed. */
     double goalMs() {
         return goalMs;
     }
--- a/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
+++ b/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
@@ -3,42 +3,46 @@
 import java.util.List;
 
 /**
- * How many attempts of this gateway may be in flight, and how many are. The limit is kept for each host, for all
- * gateways together, and adapts as Envoy's adaptive concurrency does: it shrinks while latency is stretched over its
- * base and grows while requests wait on fast hosts (DESIGN: Release). Confined to the policy's thread.
+ * Limits the attempts that this gateway has in flight, and counts them. The limit applies per host to the attempts of
+ * all gateways together. It adapts like Envoy's adaptive concurrency filter: it shrinks while queueing at the hosts
+ * inflates the latency, and grows while the latency is low and all slots are in use (DESIGN: Release). Confined to the
+ * policy's thread.
  */
 public final class ConcurrencyLimit {
     // Attempts in flight at one host, from all gateways together.
-    private static final double INITIAL_PER_HOST = 6;
-    private static final double MIN_PER_HOST = 3; // with fewer, cores would idle
-    private static final double MAX_PER_HOST = 128; // beyond this no host gains
-    private static final double INCREASE = 1.15; // factor an interval, while requests wait on fast hosts
-    private static final double DECREASE = 0.85; // factor an interval, while latency is stretched
-    private static final double INTERVAL_MS = 250; // how often the limit moves
-    private static final int MIN_SAMPLES = 8; // ended attempts to move it by, or as many intervals
-    private static final double STRETCHED = 1.7; // latency over its base that counts as queueing at the hosts
-    private static final double HARMLESS_OBJECTIVE_SHARE = 0.1; // of the objective: latency below does no harm
-    private static final double QUEUEING_OBJECTIVE_SHARE = 0.5; // mean share of the objective that is queueing for sure
-    private static final double BURST_SLOTS = 0.7; // slots beyond the even ones, in square roots of them: for bursts
+    private static final double INITIAL_ATTEMPTS_PER_HOST = 6;
+    private static final double MIN_ATTEMPTS_PER_HOST = 3; // fewer would leave cores of a host idle
+    private static final double MAX_ATTEMPTS_PER_HOST = 128; // more do not raise a host's throughput
+
+    private static final double INCREASE_FACTOR = 1.15;
+    private static final double DECREASE_FACTOR = 0.85;
+    private static final double ADAPTATION_INTERVAL_MS = 250;
+    private static final int MIN_ENDED_ATTEMPTS = 8; // with fewer the adaptation is postponed
+    private static final int MAX_INTERVALS_PER_ADAPTATION = 8;
+    private static final double INFLATED_LATENCY_RATIO = 1.7; // latency over its base from which hosts are queueing
+    private static final double HARMLESS_OBJECTIVE_SHARE = 0.1; // a lower share of the objective is no congestion
+    private static final double CONGESTED_OBJECTIVE_SHARE = 0.5; // a higher share of the objective always is
+    private static final double BURST_SLOT_FACTOR = 0.7; // extra slots per square root of a gateway's even share
 
     private final int gatewayCount;
     private final List<TrafficClass> classes;
-    private double perHost = INITIAL_PER_HOST;
+    private double attemptsPerHost = INITIAL_ATTEMPTS_PER_HOST;
     private int inUse;
-    private boolean saturated; // since last taken
+    private boolean saturated; // since the flag was last read
     private double adaptedAt;
-    // Of the current interval:
-    private int responses;
-    private int timeouts;
+
+    // Statistics of the current interval.
+    private int responseCount;
+    private int timeoutCount;
     private double latencySumMs;
-    private double baseSumMs;
-    private double objectiveShareSum;
+    private double baseLatencySumMs;
+    private double objectiveShareSum; // of each latency divided by the objective of its class
 
     /**
-     * Starts at {@code now}, in milliseconds of the policy's clock.
+     * Starts the first interval at {@code now}, in milliseconds of the policy's clock.
      *
-     * @param gatewayCount gateways that share the hosts, 1 or more
-     * @param classes those whose base latencies move with the limit's intervals
+     * @param gatewayCount number of gateways that share the hosts, 1 or more
+     * @param classes traffic classes whose base latencies are updated at the end of each interval
      */
     public ConcurrencyLimit(double now, int gatewayCount, List<TrafficClass> classes) {
         this.gatewayCount = gatewayCount;
@@ -47,94 +51,107 @@
     }
 
     /**
-     * This gateway's slots: its even part of what all hosts take, and some for bursts by chance; 1 or more.
+     * Returns the number of this gateway's slots: its even share of the slots of all hosts, and some more for random
+     * bursts; 1 or more.
      *
-     * @param capacity of the hosts in use, in hosts that are warm and healthy
+     * @param capacity of the hosts in use, as a number of healthy hosts that are not in slow start
      */
     public double slots(double capacity) {
-        double even = perHost * Math.max(1, capacity) / gatewayCount;
-        return Math.max(1, even + BURST_SLOTS * Math.sqrt(even) * (1 - 1.0 / gatewayCount));
+        double evenShare = attemptsPerHost * Math.max(1, capacity) / gatewayCount;
+        return Math.max(1, evenShare + BURST_SLOT_FACTOR * Math.sqrt(evenShare) * (1 - 1.0 / gatewayCount));
     }
 
-    /** Attempts in flight now. */
+    /** Returns the number of attempts in flight. */
     public int inUse() {
         return inUse;
     }
 
-    /** Takes a slot for an attempt, also where all are in use. */
+    /** Takes a slot for an attempt, even if all are in use. */
     public void acquire() {
         inUse++;
     }
 
-    /** Gives back a slot that was acquired. */
+    /** Releases a slot that was acquired. */
     public void release() {
         inUse--;
     }
 
-    /** Notes that no slot was left for dispatching. */
+    /** Records that no slot was free for a dispatch. */
     void noteSaturated() {
         saturated = true;
     }
 
-    /** Whether no slot was left at any time since the last call. */
+    /** Whether {@link #noteSaturated} was called since the last call of this method; resets the flag. */
     boolean takeSaturated() {
-        boolean taken = saturated;
+        boolean wasSaturated = saturated;
         saturated = false;
-        return taken;
+        return wasSaturated;
     }
 
-    /** Counts a successful attempt: its latency, that of its base, and the latency objective of its class. */
+    /**
+     * Records a successful attempt.
+     *
+     * @param latencyMs time that the attempt took
+     * @param baseMs time that it would have taken on hosts without queues
+     * @param objectiveMs latency objective of its class
+     */
     public void noteResponse(double latencyMs, double baseMs, double objectiveMs) {
         latencySumMs += latencyMs;
-        baseSumMs += baseMs;
+        baseLatencySumMs += baseMs;
         objectiveShareSum += latencyMs / objectiveMs;
-        responses++;
+        responseCount++;
     }
 
-    /** Counts an attempt that timed out. */
+    /** Records an attempt that timed out. */
     public void noteTimeout() {
-        timeouts++;
+        timeoutCount++;
     }
 
-    /** Moves the limit where the time for it has come; to be called at each timer tick. */
+    /** Adapts the limit if the current interval has ended; must be called on each timer tick. */
     public void adapt(double now) {
-        if (now - adaptedAt < INTERVAL_MS) return;
-        // Few answers say nothing of the hosts: one in five takes twice its time on idle ones.
-        int ended = responses + timeouts;
-        if (ended > 0 && ended < MIN_SAMPLES && now - adaptedAt < MIN_SAMPLES * INTERVAL_MS) return;
+        if (now - adaptedAt < ADAPTATION_INTERVAL_MS) return;
+        // A few responses are not representative: even on idle hosts one in five takes twice the expected time.
+        int ended = responseCount + timeoutCount;
+        if (ended > 0
+                && ended < MIN_ENDED_ATTEMPTS
+                && now - adaptedAt < MAX_INTERVALS_PER_ADAPTATION * ADAPTATION_INTERVAL_MS) return;
         adaptedAt = now;
         if (ended > 0) {
-            if (isCongested()) perHost = Math.max(MIN_PER_HOST, perHost * DECREASE);
-            else if (saturated) perHost = Math.min(MAX_PER_HOST, perHost * INCREASE);
+            if (isCongested()) attemptsPerHost = Math.max(MIN_ATTEMPTS_PER_HOST, attemptsPerHost * DECREASE_FACTOR);
+            else if (saturated) attemptsPerHost = Math.min(MAX_ATTEMPTS_PER_HOST, attemptsPerHost * INCREASE_FACTOR);
         }
         beginInterval();
     }
 
-    /** A few attempts that the network swallowed say nothing of queues at the hosts, however long they took. */
+    /**
+     * Whether requests queue at the hosts. Timeouts show this only if they outnumber the responses, because the network
+     * may lose a few attempts at any time.
+     */
     private boolean isCongested() {
-        return (latencySumMs > STRETCHED * baseSumMs && objectiveShareSum > HARMLESS_OBJECTIVE_SHARE * responses)
-                || objectiveShareSum > QUEUEING_OBJECTIVE_SHARE * responses
-                || timeouts > responses;
+        return (latencySumMs > INFLATED_LATENCY_RATIO * baseLatencySumMs
+                        && objectiveShareSum > HARMLESS_OBJECTIVE_SHARE * responseCount)
+                || objectiveShareSum > CONGESTED_OBJECTIVE_SHARE * responseCount
+                || timeoutCount > responseCount;
     }
 
     private void beginInterval() {
         latencySumMs = 0;
-        baseSumMs = 0;
+        baseLatencySumMs = 0;
         objectiveShareSum = 0;
-        responses = 0;
-        timeouts = 0;
+        responseCount = 0;
+        timeoutCount = 0;
         for (TrafficClass trafficClass : classes) {
             trafficClass.latency().updateBase();
         }
     }
 
-    /** Attempts in flight that one host takes from all gateways together, for the snapshot. */
+    /** Returns the limit of attempts in flight at one host from all gateways together, for the snapshot. */
     public double perHost() {
-        return perHost;
+        return attemptsPerHost;
     }
 
-    /** Takes over the limit for each host from a snapshot, within its bounds. */
+    /** Restores the limit per host from a snapshot, clamped to its bounds. */
     public void restore(double restoredPerHost) {
-        perHost = Math.max(MIN_PER_HOST, Math.min(MAX_PER_HOST, restoredPerHost));
+        attemptsPerHost = Math.max(MIN_ATTEMPTS_PER_HOST, Math.min(MAX_ATTEMPTS_PER_HOST, restoredPerHost));
     }
 }
--- a/src/main/java/caperrudder/policy/scheduling/Dispatcher.java
+++ b/src/main/java/caperrudder/policy/scheduling/Dispatcher.java
@@ -1,15 +1,15 @@
 package caperrudder.policy.scheduling;
 
 /**
- * Finds a destination for what a {@link FairScheduler} wants to release, and sends it there.
+ * Finds destinations for the requests in the queues of a {@link FairScheduler}, and sends the requests there.
  *
- * @param <R> what is released
- * @param <D> where it may go
+ * @param <R> type of the queued requests
+ * @param <D> type of the destinations
  */
 public interface Dispatcher<R, D> {
-    /** A destination that may take it now, or null where there is none; changes no queue. */
+    /** Returns a destination that may take the request now, or null if there is none. Must not change a queue. */
     D findDestination(double now, R request);
 
-    /** Sends what has just left its queue; takes a slot of the concurrency limit where the work begins at once. */
+    /** Sends a request that has just left its queue. Takes a slot of the concurrency limit if its work begins at once. */
     void dispatch(double now, R request, D destination);
 }
--- a/src/main/java/caperrudder/policy/scheduling/LatencyEstimate.java
+++ b/src/main/java/caperrudder/policy/scheduling/LatencyEstimate.java
@@ -1,17 +1,15 @@
 package caperrudder.policy.scheduling;
 
 /**
- * How long attempts of one traffic class take for each quota unit of their request: a moving average, and the base that
- * it has on hosts without queues. Times are milliseconds. Confined to the policy's thread.
+ * Estimates the latency of the attempts of one traffic class per quota unit of the request: as a moving average of recent
+ * attempts, and as the base latency on hosts without queues. Times are in milliseconds. Confined to the policy's thread.
  */
 public final class LatencyEstimate {
-    private static final double INITIAL_OBJECTIVE_SHARE =
-            0.2; // of the objective: the largest request, before any answer
-    private static final double MIN_UNITS = 0.1; // smaller requests are taken to cost as much as one of this size
-    private static final double MIN_GAIN = 0.03; // least weight of one sample in the moving average
-    private static final int BASE_SAMPLES = 20; // samples before the base is held
-    private static final double BASE_DRIFT =
-            1.002; // growth of the base an interval, so that a lasting change is accepted
+    private static final double INITIAL_OBJECTIVE_SHARE = 0.2; // expected latency of the largest request at first
+    private static final double MIN_UNITS = 0.1; // smaller requests are assumed to take as long as one of this size
+    private static final double MIN_SAMPLE_GAIN = 0.03; // minimum weight of a sample in the moving average
+    private static final int MIN_BASE_SAMPLES = 20; // with fewer the base equals the moving average
+    private static final double BASE_GROWTH_FACTOR = 1.002; // per interval, to adapt to a lasting increase
 
     private double perUnitMs;
     private double basePerUnitMs;
@@ -23,7 +21,7 @@
     }
 
     /**
-     * The estimate before the first sample.
+     * Returns the estimate before the first sample.
      *
      * @param objectiveMs latency objective of the class
      * @param maxUnits quota units of the largest request that the settings allow
@@ -32,45 +30,50 @@
         return new LatencyEstimate(objectiveMs * INITIAL_OBJECTIVE_SHARE / maxUnits);
     }
 
-    /** Time that requests of this many units have been taking. */
+    /** Returns the expected latency of an attempt for a request of this size, from recent attempts. */
     public double expectedMs(double units) {
         return perUnitMs * Math.max(units, MIN_UNITS);
     }
 
-    /** Time that a request of this many units takes on hosts without queues. */
+    /** Returns the latency of an attempt for a request of this size on hosts without queues. */
     public double baseMs(double units) {
         return basePerUnitMs * units;
     }
 
-    /** Learns from a successful attempt. */
+    /** Adds the latency of a successful attempt. */
     public void add(double latencyMs, double units) {
         double sampleMs = latencyMs / Math.max(MIN_UNITS, units);
         samples++;
-        perUnitMs += Math.max(MIN_GAIN, 1.0 / samples) * (sampleMs - perUnitMs);
+        perUnitMs += Math.max(MIN_SAMPLE_GAIN, 1.0 / samples) * (sampleMs - perUnitMs);
     }
 
-    /** Ends an interval of the concurrency limit: the base follows lower latencies at once and higher ones slowly. */
+    /**
+     * Updates the base at the end of an interval of the concurrency limit. The base follows lower latencies at once and
+     * higher ones slowly.
+     */
     void updateBase() {
-        double drifted = samples < BASE_SAMPLES ? perUnitMs : basePerUnitMs * BASE_DRIFT;
-        basePerUnitMs = Math.min(drifted, perUnitMs);
+        double maxBaseMs = samples < MIN_BASE_SAMPLES ? perUnitMs : basePerUnitMs * BASE_GROWTH_FACTOR;
+        basePerUnitMs = Math.min(maxBaseMs, perUnitMs);
     }
 
-    /** Takes over what another process had learned. */
+    /** Restores the state that the predecessor saved. */
     void restore(double restoredPerUnitMs, double restoredBasePerUnitMs, int restoredSamples) {
         perUnitMs = restoredPerUnitMs;
         basePerUnitMs = restoredBasePerUnitMs;
         samples = restoredSamples;
     }
 
+    /** Returns the moving average of the latency per quota unit. */
     double perUnitMs() {
         return perUnitMs;
     }
 
+    /** Returns the latency per quota unit on hosts without queues. */
     double basePerUnitMs() {
         return basePerUnitMs;
     }
 
-    /** Successful attempts learned from, 0 or more, those of the process before included. */
+    /** Returns the number of successful attempts that were added, including those of the predecessor. */
     public int samples() {
         return samples;
     }
--- a/src/main/java/caperrudder/policy/scheduling/OverdueShare.java
+++ b/src/main/java/caperrudder/policy/scheduling/OverdueShare.java
@@ -1,20 +1,20 @@
 package caperrudder.policy.scheduling;
 
 /**
- * The share of recently admitted requests that were answered after their latency objective or expired before they were
- * served: an exponential moving average over requests of all classes. Confined to the policy's thread.
+ * The share of admitted requests that were answered after their latency objective, or ended without being served: an
+ * exponential moving average over the requests of all classes. Confined to the policy's thread.
  */
 public final class OverdueShare {
-    private static final double GAIN = 0.02; // weight of one request
+    private static final double SAMPLE_GAIN = 0.02; // weight of one request in the moving average
 
     private double share;
 
-    /** Counts one admitted request that has come to its end. */
+    /** Records an admitted request that has been answered or has expired. */
     public void note(boolean overdue) {
-        share += GAIN * ((overdue ? 1 : 0) - share);
+        share += SAMPLE_GAIN * ((overdue ? 1 : 0) - share);
     }
 
-    /** From 0 to 1; 0 before the first request. */
+    /** Returns the share, from 0 to 1; 0 before the first request. */
     public double share() {
         return share;
     }
--- a/src/main/java/caperrudder/policy/scheduling/ResponseTimeHistogram.java
+++ b/src/main/java/caperrudder/policy/scheduling/ResponseTimeHistogram.java
@@ -1,53 +1,53 @@
 package caperrudder.policy.scheduling;
 
 /**
- * The distribution of response times of one traffic class, each counted from the request's arrival and taken as a
- * multiple of the time expected for a request of its size. Older samples fade exponentially.
+ * The distribution of the response times of one traffic class. A response time runs from the arrival of the request. It
+ * is recorded as a multiple of the latency expected for a request of its size. Older samples decay exponentially.
  *
- * <p>Sixteen buckets whose upper bounds grow by a constant ratio, the last one open; memory is constant. Confined to
+ * <p>The upper bounds of the buckets form a geometric series; the last bucket also takes all higher samples. Confined to
  * the policy's thread.
  */
 public final class ResponseTimeHistogram {
-    private static final int BUCKETS = 16;
-    private static final double FIRST_BOUND = 0.25; // of the expected time
-    private static final double BOUND_RATIO = 1.25; // between the bounds of neighbouring buckets
-    private static final double RETENTION = 0.99; // of the counts, at each further sample
+    private static final int BUCKET_COUNT = 16;
+    private static final double FIRST_UPPER_BOUND = 0.25; // as a multiple of the expected latency
+    private static final double UPPER_BOUND_RATIO = 1.25; // between adjacent buckets
+    private static final double COUNT_RETENTION = 0.99; // of all counts at each new sample
 
-    private final double[] counts = new double[BUCKETS];
-    private double total;
+    private final double[] counts = new double[BUCKET_COUNT];
+    private double totalCount;
 
-    /** Adds a sample; {@code multiple} is the response time over the expected time, 0 or more. */
+    /** Adds a sample; {@code multiple} is the response time divided by the expected latency, 0 or more. */
     public void add(double multiple) {
-        for (int bucket = 0; bucket < BUCKETS; bucket++) {
-            counts[bucket] *= RETENTION;
+        for (int bucket = 0; bucket < BUCKET_COUNT; bucket++) {
+            counts[bucket] *= COUNT_RETENTION;
         }
         counts[bucketOf(multiple)]++;
-        total = total * RETENTION + 1;
+        totalCount = totalCount * COUNT_RETENTION + 1;
     }
 
     private static int bucketOf(double multiple) {
         int bucket = 0;
-        while (bucket < BUCKETS - 1 && multiple > upperBound(bucket)) {
+        while (bucket < BUCKET_COUNT - 1 && multiple > upperBound(bucket)) {
             bucket++;
         }
         return bucket;
     }
 
     private static double upperBound(int bucket) {
-        return FIRST_BOUND * Math.pow(BOUND_RATIO, bucket);
+        return FIRST_UPPER_BOUND * Math.pow(UPPER_BOUND_RATIO, bucket);
     }
 
     /**
-     * The share of responses, from 0 to 1, that take at most this multiple of the expected time, interpolated within
-     * buckets. One sample within the limit is assumed beforehand, so the share is 1 before any sample.
+     * Returns the share of responses, from 0 to 1, that take at most this multiple of the expected latency, interpolated
+     * within buckets. The estimate starts with one assumed sample within the limit, so it is 1 before the first sample.
      */
     public double shareWithin(double multiple) {
-        double within = 1;
-        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+        double withinCount = 1;
+        for (int bucket = 0; bucket < BUCKET_COUNT; bucket++) {
             double lower = bucket == 0 ? 0 : upperBound(bucket - 1);
             double upper = upperBound(bucket);
-            within += counts[bucket] * Math.max(0, Math.min(1, (multiple - lower) / (upper - lower)));
+            withinCount += counts[bucket] * Math.max(0, Math.min(1, (multiple - lower) / (upper - lower)));
         }
-        return within / (total + 1);
+        return withinCount / (totalCount + 1);
     }
 }
--- a/src/main/java/caperrudder/policy/scheduling/Schedulable.java
+++ b/src/main/java/caperrudder/policy/scheduling/Schedulable.java
@@ -1,10 +1,10 @@
 package caperrudder.policy.scheduling;
 
-/** What a {@link FairScheduler} queues: a unit of work of some traffic class. */
+/** A request that a {@link FairScheduler} can queue. */
 public interface Schedulable {
-    /** The class in whose queue it waits; never changes. */
+    /** Returns the class in whose queue the request waits; never changes. */
     TrafficClass trafficClass();
 
-    /** Time in milliseconds that its class's requests of this size have been taking; over 0. */
+    /** Returns the expected latency in milliseconds, from recent requests of the same class and size; over 0. */
     double expectedWorkMs();
 }
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
@@ -4,19 +4,21 @@
 import caperrudder.api.RequestClass;
 
 /**
- * A request class of the settings with all that this gateway has learned of it: latency, response times, and the
- * scheduling weight with its delay. Confined to the policy's thread.
+ * A request class of the settings with the statistics that this gateway keeps of it: the latency of attempts, response
+ * times, and the scheduling weight with the delay it depends on. Confined to the policy's thread.
  */
 public final class TrafficClass {
+    private static final double MIN_EXPECTED_MS = 1; // bounds multiples of a very small expected latency
+
     private final RequestClass spec;
     private final LatencyEstimate latency;
     private final ResponseTimeHistogram responseTimes = new ResponseTimeHistogram();
     private final ClassWeight weight;
 
     /**
-     * A class of which nothing has been learned yet.
+     * Creates a class without statistics.
      *
-     * @param initialWeight its share of all classes' priority weights, over 0 and at most 1
+     * @param initialWeight the class's share of the sum of all priority weights, over 0 and at most 1
      * @param maxUnits quota units of the largest request that the settings allow
      */
     public TrafficClass(RequestClass spec, double initialWeight, double maxUnits) {
@@ -25,7 +27,7 @@
         this.weight = new ClassWeight(spec.latencyObjectiveMs(), initialWeight);
     }
 
-    /** The class as the settings describe it. */
+    /** Returns the class as configured in the settings. */
     public RequestClass spec() {
         return spec;
     }
@@ -34,7 +36,7 @@
         return spec.name();
     }
 
-    /** Latency of its attempts by size. */
+    /** Returns the latency estimate of the class's attempts. */
     public LatencyEstimate latency() {
         return latency;
     }
@@ -43,30 +45,34 @@
         return weight;
     }
 
-    /** Counts a request that left the queue, dispatched for the first time or expired, after so long. */
-    public void noteHold(double holdMs) {
-        weight.noteHold(holdMs);
+    /** Records the queue delay of a request that was dispatched for the first time or has expired. */
+    public void noteHold(double queueDelayMs) {
+        weight.noteHold(queueDelayMs);
     }
 
     /**
-     * Learns from a served request.
+     * Records a served request.
      *
-     * @param latencyMs time of the attempt that served it
+     * @param latencyMs latency of the attempt that served it
      * @param responseTimeMs time since its arrival
      * @param units its size in quota units
      */
     public void noteServed(double latencyMs, double responseTimeMs, double units) {
         latency.add(latencyMs, units);
         weight.noteLatency(latencyMs);
-        responseTimes.add(responseTimeMs / Math.max(1, latency.expectedMs(units)));
+        responseTimes.add(responseTimeMs / Math.max(MIN_EXPECTED_MS, latency.expectedMs(units)));
     }
 
-    /** The share, from 0 to 1, of requests of this expected time that are answered within the latency objective. */
+    /**
+     * Returns the share, from 0 to 1, of requests that are answered within the latency objective.
+     *
+     * @param expectedMs expected latency of the requests, which depends on their size
+     */
     public double shareWithinObjective(double expectedMs) {
-        return responseTimes.shareWithin(spec.latencyObjectiveMs() / Math.max(1, expectedMs));
+        return responseTimes.shareWithin(spec.latencyObjectiveMs() / Math.max(MIN_EXPECTED_MS, expectedMs));
     }
 
-    /** What the gateway's next process is to know of the class. */
+    /** Returns the statistics of the class for the successor. */
     public ClassSnapshot snapshot() {
         return new ClassSnapshot(
                 spec.name(),
@@ -78,7 +84,7 @@
                 weight.slope());
     }
 
-    /** Takes over what the process before had learned. */
+    /** Restores the statistics that the predecessor saved. */
     void restore(ClassSnapshot snapshot) {
         weight.restore(snapshot.weight(), snapshot.delay(), snapshot.slope());
         latency.restore(snapshot.latencyPerUnit(), snapshot.baseLatencyPerUnit(), snapshot.samples());
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The traffic classes of a gateway, in the order of its settings and by name. Confined to the policy's thread. */
+/** The traffic classes of a gateway, by name and in the order of the settings. Confined to the policy's thread. */
 public final class TrafficClasses {
-    /** No classes at all, as before the settings are known: no request's class can be found. */
+    /** An empty set of classes, used until the settings are known. */
     public static final TrafficClasses NONE = new TrafficClasses();
 
     private final Map<String, TrafficClass> byName = new LinkedHashMap<>();
@@ -20,13 +20,13 @@
         all = List.of();
     }
 
-    /** The classes of the settings, weighted by their priority. */
+    /** Creates the classes of the settings, with initial weights in proportion to their priority weights. */
     public TrafficClasses(Settings settings) {
-        double sum = settings.classes().stream()
+        double prioritySum = settings.classes().stream()
                 .mapToDouble(TrafficClasses::priority)
                 .sum();
         for (RequestClass spec : settings.classes()) {
-            double share = priority(spec) / sum;
+            double share = priority(spec) / prioritySum;
             byName.put(
                     spec.name(),
                     new TrafficClass(spec, share, settings.sharing().maxUnits()));
@@ -38,17 +38,17 @@
         return Math.max(ClassWeight.MIN, spec.priorityWeight());
     }
 
-    /** The class of this name, or null where the settings do not name it. */
+    /** Returns the class of this name, or null if the settings do not define it. */
     public TrafficClass find(String name) {
         return byName.get(name);
     }
 
-    /** In the order of the settings; not to be changed. */
+    /** Returns the classes in the order of the settings, unmodifiable. */
     public List<TrafficClass> all() {
         return all;
     }
 
-    /** Whether any attempt has succeeded yet, so that there is something learned to keep. */
+    /** Whether the latency of any attempt has been recorded. */
     public boolean haveSamples() {
         for (TrafficClass trafficClass : all) {
             if (trafficClass.latency().samples() > 0) return true;
@@ -56,15 +56,18 @@
         return false;
     }
 
-    /** What the gateway's next process is to know, in the order of the settings. */
+    /** Returns the statistics of all classes for the successor, in the order of the settings. */
     public List<ClassSnapshot> snapshot() {
         return all.stream().map(TrafficClass::snapshot).toList();
     }
 
-    /** Takes over what the process before had learned. Weights hold for all classes or for none. */
+    /**
+     * Restores the statistics that the predecessor saved. Does nothing if its classes differ from those of the settings in
+     * name or order, because the saved weights sum to one only over all of them.
+     */
     public void restore(List<ClassSnapshot> snapshots) {
-        List<String> named = snapshots.stream().map(ClassSnapshot::name).toList();
-        if (!named.equals(new ArrayList<>(byName.keySet()))) return;
+        List<String> names = snapshots.stream().map(ClassSnapshot::name).toList();
+        if (!names.equals(new ArrayList<>(byName.keySet()))) return;
         for (ClassSnapshot snapshot : snapshots) {
             byName.get(snapshot.name()).restore(snapshot);
         }
--- a/src/main/java/caperrudder/policy/scheduling/WeightController.java
+++ b/src/main/java/caperrudder/policy/scheduling/WeightController.java
@@ -3,42 +3,44 @@
 import java.util.List;
 
 /**
- * Moves scheduling weight between traffic classes so that each meets its delay goal: the donation of the paper (DESIGN:
- * Donation). At each interval the worst underweight class receives from the overweight ones by their surplus. Weights
- * move only while the concurrency limit makes requests wait, and the interval doubles after each move so that delays
- * settle. Confined to the policy's thread.
+ * Moves scheduling weight between traffic classes so that each meets its delay goal, by the donation algorithm of page
+ * PAPER (DESIGN: Donation). At each interval the underweight class that misses its goal the most receives weight from the
+ * overweight classes, in proportion to their surplus. Weight moves only if no slot of the concurrency limit was free at
+ * some time since the last interval. The interval doubles after each donation, so that delays settle. Confined to the
+ * policy's thread.
  */
 public final class WeightController {
-    private static final double BETA = 0.5; // share of a computed donation that is committed; the paper's beta
-    private static final double TICK_MS = 500; // averaging interval of delays
-    private static final double MIN_INTERVAL_MS = 1000; // first interval between donations
-    private static final double MAX_INTERVAL_MS = 8000; // longest interval, as it doubles after each donation
+    private static final double APPLIED_DONATION_SHARE = 0.5; // of a computed donation; beta in page PAPER
+    private static final double DELAY_AVERAGING_MS = 500;
+    private static final double MIN_DONATION_INTERVAL_MS = 1000;
+    private static final double MAX_DONATION_INTERVAL_MS = 8000;
 
     private final List<TrafficClass> classes;
     private final ConcurrencyLimit limit;
-    private double tickedAt;
-    private double donatedAt;
-    private double intervalMs = MIN_INTERVAL_MS;
+    private double delaysAveragedAt;
+    private double donationCheckedAt;
+    private double donationIntervalMs = MIN_DONATION_INTERVAL_MS;
 
-    /** Starts at {@code now}, in milliseconds of the policy's clock. */
+    /** Starts the first interval at {@code now}, in milliseconds of the policy's clock. */
     public WeightController(double now, List<TrafficClass> classes, ConcurrencyLimit limit) {
         this.classes = classes;
         this.limit = limit;
-        this.tickedAt = now;
-        this.donatedAt = now;
+        this.delaysAveragedAt = now;
+        this.donationCheckedAt = now;
     }
 
-    /** Averages delays and donates weight where the time for it has come; to be called at each timer tick. */
+    /** Averages delays and donates weight if the interval for each has ended; must be called on each timer tick. */
     public void update(double now) {
-        if (now - tickedAt < TICK_MS) return;
-        tickedAt = now;
+        if (now - delaysAveragedAt < DELAY_AVERAGING_MS) return;
+        delaysAveragedAt = now;
         for (TrafficClass trafficClass : classes) {
             trafficClass.weight().endTick();
         }
-        if (now - donatedAt < intervalMs) return;
-        donatedAt = now;
+        if (now - donationCheckedAt < donationIntervalMs) return;
+        donationCheckedAt = now;
         boolean donated = limit.takeSaturated() && measureAndDonate();
-        intervalMs = donated ? Math.min(MAX_INTERVAL_MS, intervalMs * 2) : MIN_INTERVAL_MS;
+        donationIntervalMs =
+                donated ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2) : MIN_DONATION_INTERVAL_MS;
     }
 
     private boolean measureAndDonate() {
@@ -49,27 +51,28 @@
     }
 
     /**
-     * One donation; the sum of all weights stays. False where no weight moved: all classes are content, or all are
-     * underweight, and then weights freeze.
+     * Makes one donation, which keeps the sum of all weights. Returns false if no weight moved, because no class is
+     * underweight or none has a surplus.
      */
     static boolean donate(List<ClassWeight> weights) {
         ClassWeight worst = worstUnderweight(weights);
-        double surplus = 0;
+        double totalSurplus = 0;
         for (ClassWeight donor : weights) {
-            surplus += donor.surplus();
+            totalSurplus += donor.surplus();
         }
-        if (worst == null || surplus <= 0) return false;
+        if (worst == null || totalSurplus <= 0) return false;
         double wanted = worst.wantedWeight();
-        double moved = 0;
+        double donated = 0;
         for (ClassWeight donor : weights) {
             if (donor.surplus() <= 0) continue;
-            moved += donor.give(BETA * Math.min(wanted * donor.surplus() / surplus, donor.largestGift()));
+            donated += donor.give(
+                    APPLIED_DONATION_SHARE * Math.min(wanted * donor.surplus() / totalSurplus, donor.largestGift()));
         }
-        worst.receive(moved);
-        return moved > 0;
+        worst.receive(donated);
+        return donated > 0;
     }
 
-    /** The underweight class that misses its goal by the largest ratio, or null where there is none. */
+    /** Returns the underweight class whose delay exceeds its goal by the largest ratio, or null if there is none. */
     private static ClassWeight worstUnderweight(List<ClassWeight> weights) {
         ClassWeight worst = null;
         for (ClassWeight weight : weights) {
--- a/src/test/java/caperrudder/policy/scheduling/ConcurrencyLimitTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/ConcurrencyLimitTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How the limit for each host moves, and how a gateway's slots follow from it. */
+/** The adaptation of the limit per host, and a gateway's number of slots. */
 class ConcurrencyLimitTest {
     private static final double INTERVAL_MS = 250;
     private static final double OBJECTIVE_MS = 1000;
@@ -23,17 +23,17 @@
     @Test
     void singleGatewayHasAllSlotsOfTheHosts() {
         assertEquals(18, limit.slots(3));
-        assertEquals(6, limit.slots(0), "never less than one host's");
+        assertEquals(6, limit.slots(0), "slots of one host are the minimum");
     }
 
     @Test
-    void gatewayOfManyHasItsEvenPartAndSomeForBursts() {
+    void oneOfSeveralGatewaysHasItsEvenShareAndBurstSlots() {
         ConcurrencyLimit shared = new ConcurrencyLimit(0, 4, List.of());
         assertEquals(18 / 4.0 + 0.7 * Math.sqrt(18 / 4.0) * 0.75, shared.slots(3), 1e-9);
     }
 
     @Test
-    void limitGrowsWhereRequestsWaitOnFastHosts() {
+    void limitGrowsIfSaturatedAndLatencyIsLow() {
         respond(8, 30, 30);
         limit.noteSaturated();
         limit.adapt(INTERVAL_MS);
@@ -41,14 +41,14 @@
     }
 
     @Test
-    void limitStaysWhereNoRequestWaits() {
+    void limitStaysIfNotSaturated() {
         respond(8, 30, 30);
         limit.adapt(INTERVAL_MS);
         assertEquals(6, limit.perHost());
     }
 
     @Test
-    void limitShrinksToItsLeastWhileLatencyIsStretched() {
+    void limitShrinksToItsMinimumWhileLatencyIsInflated() {
         for (int interval = 1; interval <= 20; interval++) {
             respond(8, 200, 100);
             limit.noteSaturated();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void limitShrinksWhereMostAttemptsTimeOut() {
+    void limitShrinksIfMostAttemptsTimeOut() {
         respond(3, 30, 30);
         for (int i = 0; i < 5; i++) {
             limit.noteTimeout();
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void fewResponsesAreWaitedOn() {
+    void adaptationIsPostponedUpToEightIntervalsWithFewResponses() {
         respond(2, 200, 100);
         limit.adapt(INTERVAL_MS);
         assertEquals(6, limit.perHost());
@@ -77,14 +77,14 @@
     }
 
     @Test
-    void saturationIsToldOnce() {
+    void saturatedFlagIsResetWhenRead() {
         limit.noteSaturated();
         assertTrue(limit.takeSaturated());
         assertFalse(limit.takeSaturated());
     }
 
     @Test
-    void restoredLimitIsHeldWithinItsBounds() {
+    void restoredLimitIsClampedToItsBounds() {
         limit.restore(1000);
         assertEquals(128, limit.perHost());
         limit.restore(0);
--- a/src/test/java/caperrudder/policy/scheduling/FairSchedulerTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/FairSchedulerTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Turns between classes, the order within one, and what waits where no destination may take it. */
+/** Fairness between classes, the order within a class, and requests without a destination. */
 class FairSchedulerTest {
     private static final double NOW = 1000;
 
@@ -20,25 +20,25 @@
     private final List<TrafficClass> classes = List.of(light, heavy);
     private final ConcurrencyLimit limit = new ConcurrencyLimit(NOW, 1, classes);
     private final List<String> dispatched = new ArrayList<>();
-    private final Set<String> unplaceable = new HashSet<>();
-    private final FairScheduler<Work, String> scheduler = new FairScheduler<>(classes, limit, new Recorder());
+    private final Set<String> withoutDestination = new HashSet<>();
+    private final FairScheduler<QueuedRequest, String> scheduler = new FairScheduler<>(classes, limit, new DispatchRecorder());
 
-    private record Work(String name, TrafficClass trafficClass) implements Schedulable {
+    private record QueuedRequest(String name, TrafficClass trafficClass) implements Schedulable {
         @Override
         public double expectedWorkMs() {
             return 10;
         }
     }
 
-    private final class Recorder implements Dispatcher<Work, String> {
+    private final class DispatchRecorder implements Dispatcher<QueuedRequest, String> {
         @Override
-        public String findDestination(double now, Work work) {
-            return unplaceable.contains(work.name()) ? null : "host";
+        public String findDestination(double now, QueuedRequest request) {
+            return withoutDestination.contains(request.name()) ? null : "host";
         }
 
         @Override
-        public void dispatch(double now, Work work, String destination) {
-            dispatched.add(work.name());
+        public void dispatch(double now, QueuedRequest request, String destination) {
+            dispatched.add(request.name());
             limit.acquire();
         }
     }
@@ -51,7 +51,7 @@
 
     private void enqueue(TrafficClass trafficClass, String... names) {
         for (String name : names) {
-            scheduler.enqueue(new Work(name, trafficClass));
+            scheduler.enqueue(new QueuedRequest(name, trafficClass));
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void nothingIsDispatchedWhereNoSlotIsFree() {
+    void nothingIsDispatchedWhileNoSlotIsFree() {
         enqueue(light, "l1", "l2");
         scheduler.dispatch(NOW, 1);
         scheduler.dispatch(NOW, 1);
@@ -75,30 +75,30 @@
     }
 
     @Test
-    void requestWithoutDestinationIsPassedOverAndKeepsItsPlace() {
-        unplaceable.add("l1");
+    void requestWithoutDestinationIsSkippedAndKeepsItsPosition() {
+        withoutDestination.add("l1");
         enqueue(light, "l1", "l2");
         scheduler.dispatch(NOW, 8);
         assertEquals(List.of("l2"), dispatched);
-        unplaceable.clear();
+        withoutDestination.clear();
         enqueue(light, "l3");
         scheduler.dispatch(NOW, 8);
         assertEquals(List.of("l2", "l1", "l3"), dispatched);
     }
 
     @Test
-    void requeuedRequestGoesFirstAndARemovedOneNotAtAll() {
-        Work removed = new Work("l2", light);
+    void requeuedRequestIsDispatchedFirstAndRemovedRequestNever() {
+        QueuedRequest removed = new QueuedRequest("l2", light);
         enqueue(light, "l1");
         scheduler.enqueue(removed);
-        scheduler.requeue(new Work("l0", light));
+        scheduler.requeue(new QueuedRequest("l0", light));
         scheduler.remove(removed);
         scheduler.dispatch(NOW, 8);
         assertEquals(List.of("l0", "l1"), dispatched);
     }
 
     @Test
-    void classThatWasIdleSavesUpNoTurns() {
+    void idleClassEarnsNoCredit() {
         enqueue(heavy, "h1", "h2", "h3", "h4", "h5", "h6", "h7");
         scheduler.dispatch(NOW, 6);
         enqueue(light, "l1", "l2");
--- a/src/test/java/caperrudder/policy/scheduling/LatencyEstimateTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/LatencyEstimateTest.java
@@ -5,25 +5,25 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Latency by size, and its base. */
+/** The expected latency by request size, and the base latency. */
 class LatencyEstimateTest {
     private final LatencyEstimate estimate = LatencyEstimate.initial(1000, 4);
 
     @Test
-    void beforeAnySampleTheLargestRequestTakesAFifthOfTheObjective() {
+    void initialEstimateForTheLargestRequestIsAFifthOfTheObjective() {
         assertEquals(200, estimate.expectedMs(4), 1e-9);
         assertEquals(0, estimate.samples());
     }
 
     @Test
-    void firstSampleReplacesTheGuess() {
+    void firstSampleReplacesTheInitialEstimate() {
         estimate.add(60, 2);
         assertEquals(30, estimate.expectedMs(1), 1e-9);
         assertEquals(1, estimate.samples());
     }
 
     @Test
-    void smallRequestsAreTakenToCostATenthOfAUnit() {
+    void smallRequestsAreEstimatedAsATenthOfAUnit() {
         estimate.add(30, 1);
         assertEquals(3, estimate.expectedMs(0), 1e-9);
     }
--- a/src/test/java/caperrudder/policy/scheduling/ResponseTimeHistogramTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/ResponseTimeHistogramTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Shares of response times within a multiple of the expected time. */
+/** The share of response times within a multiple of the expected latency. */
 class ResponseTimeHistogramTest {
     private final ResponseTimeHistogram histogram = new ResponseTimeHistogram();
 
     @Test
-    void beforeAnySampleAllAreWithin() {
+    void shareIsOneBeforeAnySample() {
         assertEquals(1, histogram.shareWithin(0));
     }
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void olderSamplesFade() {
+    void olderSamplesDecay() {
         for (int i = 0; i < 100; i++) {
             histogram.add(3);
         }
--- a/src/test/java/caperrudder/policy/scheduling/WeightControllerTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/WeightControllerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The donation of weight between traffic classes, and the slope that it goes by. */
+/** The donation of weight between traffic classes, and the measured slope that it depends on. */
 class WeightControllerTest {
     private static final double OBJECTIVE_MS = 1000;
 
@@ -18,27 +18,27 @@
     }
 
     @Test
-    void donationKeepsTheSumOfWeightsAndFavoursTheWorstClass() {
+    void donationKeepsTheSumOfWeightsAndGoesToTheWorstClass() {
         ClassWeight slow = weight(0.3, 1500, 2000);
         ClassWeight easy = weight(0.4, 100, 2000);
         ClassWeight idle = weight(0.3, 300, 2000);
         assertTrue(WeightController.donate(List.of(slow, easy, idle)));
         assertEquals(1, slow.weight() + easy.weight() + idle.weight(), 1e-9);
         assertTrue(slow.weight() > 0.3 && easy.weight() < 0.4 && idle.weight() < 0.3);
-        assertTrue(0.4 - easy.weight() > 0.3 - idle.weight(), "gives by surplus");
+        assertTrue(0.4 - easy.weight() > 0.3 - idle.weight(), "the class with the larger surplus donates more");
     }
 
     @Test
-    void donationIsClampedSoThatTheDonorStaysContent() {
+    void donationKeepsTheDonorsDelayBelowItsGoal() {
         ClassWeight slow = weight(0.5, 60_000, 100);
         ClassWeight donor = weight(0.5, 500, 1000);
         WeightController.donate(List.of(slow, donor));
-        double clamp = (0.9 * donor.goalMs() - 500) / 1000;
-        assertTrue(donor.weight() >= 0.5 - clamp && donor.weight() < 0.5 && donor.weight() > 0);
+        double maxDonation = (0.9 * donor.goalMs() - 500) / 1000;
+        assertTrue(donor.weight() >= 0.5 - maxDonation && donor.weight() < 0.5 && donor.weight() > 0);
     }
 
     @Test
-    void weightsStayPositiveAndFreezeWhereAllClassesAreUnderweight() {
+    void weightsStayPositiveAndDoNotMoveIfAllClassesAreUnderweight() {
         ClassWeight light = weight(0.03, 10, 0.0001);
         ClassWeight heavy = weight(0.97, 9000, 10);
         WeightController.donate(List.of(light, heavy));
@@ -50,10 +50,10 @@
     }
 
     @Test
-    void slopeOfTheWrongSignKeepsTheLastGoodOne() {
+    void slopeIsKeptIfTheDelayRisesWithTheWeight() {
         ClassWeight state = weight(0.4, 700, 1234);
-        state.measureSlope(); // marks where it stands
-        state.restore(0.5, 800, 1234); // more weight, more delay: the wrong sign
+        state.measureSlope(); // records the weight and delay to compare with
+        state.restore(0.5, 800, 1234);
         state.measureSlope();
         assertEquals(1234, state.slope());
         state.restore(0.6, 500, 1234);
