--- a/src/main/java/caperrudder/policy/Attempt.java
+++ b/src/main/java/caperrudder/policy/Attempt.java
@@ -4,32 +4,33 @@
 import caperrudder.policy.loadbalancing.Endpoint;
 
 /**
- * One attempt of a request at an endpoint. It is open until its end is reported. It works, and takes a slot, from when
- * its request has been sent whole until its response begins. Confined to the policy's thread.
+ * One attempt of a request at an endpoint. An attempt is open until its result is reported. It is working, and holds a
+ * slot of the concurrency limit, from the time when its request has been sent completely until its response begins.
+ * Times are milliseconds of the policy's clock. Confined to the policy's thread.
  */
 final class Attempt {
     private final PendingRequest request;
     private final int number;
     private final Endpoint endpoint;
     private final double expectedWorkMs;
-    private double sentAt; // when the request was sent whole
-    private double stalledBeforeMs; // stalls of the event loop before it began to work, in all
+    private double sentAt;
+    private double stalledMsAtStart; // total stalls of the event loop before the work began
     private boolean open = true;
     private boolean working;
     private boolean overdue;
     private Delivery delivery = Delivery.MAY_HAVE_RUN;
 
-    /** What an endpoint may have done with the request, as far as the attempt's end tells. */
+    /** How far the request may have come at the endpoint, as known from the attempt's result. */
     private enum Delivery {
-        /** The endpoint may have run it, or may yet. */
+        /** The endpoint may have run the request, or may still run it. */
         MAY_HAVE_RUN,
-        /** It came whole to the endpoint, which did not run it. */
+        /** The endpoint received the complete request but did not run it. */
         REJECTED,
-        /** It never came whole to the endpoint. */
+        /** The endpoint never received the complete request. */
         NOT_DELIVERED
     }
 
-    /** Attempt {@code number}, from 0, whose first byte is sent at {@code now}. */
+    /** Creates attempt {@code number} of the request, counted from 0, whose first byte is sent at {@code now}. */
     Attempt(PendingRequest request, int number, Endpoint endpoint, double now) {
         this.request = request;
         this.number = number;
@@ -50,59 +51,69 @@
         return endpoint;
     }
 
-    /** Time that it was expected to take when it was sent, in milliseconds. */
+    /** Returns the latency in milliseconds that was expected when the attempt was sent. */
     double expectedWorkMs() {
         return expectedWorkMs;
     }
 
-    /** When it was sent, whole as far as known. */
+    /** Returns the time when the request was sent completely; that of its first byte until the work begins. */
     double sentAt() {
         return sentAt;
     }
 
-    /** The request has been sent whole: the endpoint works on it. {@code stalledMs}: of the event loop up to now. */
-    void beginWork(double now, double stalledMs) {
+    /**
+     * Records that the request has been sent completely, so that the endpoint works on it.
+     *
+     * @param totalStalledMs total duration of the event loop's stalls so far
+     */
+    void beginWork(double now, double totalStalledMs) {
         working = true;
         sentAt = now;
-        stalledBeforeMs = stalledMs;
+        stalledMsAtStart = totalStalledMs;
     }
 
-    /** The response has begun, or the attempt has ended. */
+    /** Records that the response has begun or the attempt has ended. */
     void endWork() {
         working = false;
     }
 
+    /** Whether the endpoint works on the attempt. */
     boolean isWorking() {
         return working;
     }
 
-    /** The end of the attempt was reported. */
+    /** Records the outcome that was reported for the attempt. */
     void end(Outcome outcome) {
         open = false;
         if (!outcome.neverRan()) return;
         delivery = outcome == Outcome.REJECTED ? Delivery.REJECTED : Delivery.NOT_DELIVERED;
     }
 
+    /** Whether no result has been reported yet. */
     boolean isOpen() {
         return open;
     }
 
-    /** False where the endpoint is known never to have run the request. */
+    /** Whether the endpoint may have run the request; false only if it is known not to have. */
     boolean mayHaveRun() {
         return delivery == Delivery.MAY_HAVE_RUN;
     }
 
-    /** False where the request is known never to have come whole to the endpoint. */
+    /** Whether the endpoint may have received the complete request; false only if it is known not to have. */
     boolean mayHaveArrived() {
         return delivery != Delivery.NOT_DELIVERED;
     }
 
-    /** Time that it has worked without the event loop's stalls; {@code stalledMs}: of the event loop up to now. */
-    double elapsedMs(double now, double stalledMs) {
-        return now - sentAt - (stalledMs - stalledBeforeMs);
+    /**
+     * Returns the time since the work began, without the event loop's stalls.
+     *
+     * @param totalStalledMs total duration of the event loop's stalls so far
+     */
+    double elapsedMs(double now, double totalStalledMs) {
+        return now - sentAt - (totalStalledMs - stalledMsAtStart);
     }
 
-    /** It has taken too long once: that counts against its endpoint, once. */
+    /** Records that the attempt is overdue, so that it counts against its endpoint only once. */
     void markOverdue() {
         overdue = true;
     }
--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -8,10 +8,11 @@
 import caperrudder.policy.scheduling.Dispatcher;
 
 /**
- * Sends attempts: finds the endpoint for the scheduler, and starts the attempt there. Confined to the policy's thread.
+ * Chooses the endpoint of each request that the scheduler releases, and sends an attempt there. Confined to the policy's
+ * thread.
  */
 final class AttemptDispatcher implements Dispatcher<PendingRequest, Endpoint> {
-    private static final double NO_TIMEOUT = 0; // the server stops waiting at the request's deadline
+    private static final double NO_TIMEOUT = 0; // the server enforces the request's deadline
 
     private final PolicyActions actions;
     private final LoadBalancer loadBalancer;
@@ -28,8 +29,8 @@
 
     @Override
     public Endpoint findDestination(double now, PendingRequest request) {
-        Attempt first = request.firstThatMayHaveRun();
-        Host mayHaveRunOn = first == null ? null : first.endpoint().host();
+        Attempt mayHaveRun = request.firstThatMayHaveRun();
+        Host mayHaveRunOn = mayHaveRun == null ? null : mayHaveRun.endpoint().host();
         return loadBalancer.pick(
                 now,
                 new PlacementRequest(
@@ -42,15 +43,15 @@
 
     @Override
     public void dispatch(double now, PendingRequest request, Endpoint endpoint) {
-        boolean first = !request.hasAttempts();
+        boolean isFirst = !request.hasAttempts();
         Attempt attempt = request.addAttempt(endpoint, now);
-        if (first) noteFirstAttempt(now, request);
+        if (isFirst) recordFirstAttempt(now, request);
         loadBalancer.attemptSent(endpoint);
         if (!request.isBodyPending()) outstanding.begin(now, attempt);
         actions.sendAttempt(request.id(), endpoint.id(), NO_TIMEOUT);
     }
 
-    private void noteFirstAttempt(double now, PendingRequest request) {
+    private void recordFirstAttempt(double now, PendingRequest request) {
         retries.noteFirstAttempt();
         request.trafficClass().noteHold(now - request.arrivedAt());
         if (request.quota() != null) request.quota().sent(request.units());
--- a/src/main/java/caperrudder/policy/AttemptFeedback.java
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -8,7 +8,7 @@
 import caperrudder.policy.scheduling.OverdueShare;
 import caperrudder.policy.scheduling.TrafficClass;
 
-/** Hands the result of an attempt to all that learn from it. Confined to the policy's thread. */
+/** Records the results of attempts in all statistics that depend on them. Confined to the policy's thread. */
 final class AttemptFeedback {
     private final LoadBalancer loadBalancer;
     private final ConcurrencyLimit limit;
@@ -16,7 +16,7 @@
     private final AdmissionControl admission;
     private final boolean chargesTrueUnits;
 
-    /** {@code chargesTrueUnits}: whether hosts report what a request really used, and quotas are charged by that. */
+    /** @param chargesTrueUnits whether quotas are charged for the units that hosts report as really used */
     AttemptFeedback(
             LoadBalancer loadBalancer,
             ConcurrencyLimit limit,
@@ -30,7 +30,7 @@
         this.chargesTrueUnits = chargesTrueUnits;
     }
 
-    /** Learns from an attempt that has ended with this result. */
+    /** Records the result of an attempt that has ended. */
     void record(double now, Attempt attempt, AttemptResult result) {
         PendingRequest request = attempt.request();
         TrafficClass trafficClass = request.trafficClass();
--- a/src/main/java/caperrudder/policy/AttemptLifecycle.java
+++ b/src/main/java/caperrudder/policy/AttemptLifecycle.java
@@ -6,8 +6,8 @@
 import caperrudder.policy.loadbalancing.LoadBalancer;
 
 /**
- * The way of each attempt once it has been sent: its request complete, its response begun, overdue, ended; and what
- * becomes of its request then. Confined to the policy's thread.
+ * Handles the events of an attempt after it was sent: the request is complete, the response has started, or the attempt
+ * is overdue or has ended. Decides whether the request is retried or answered then. Confined to the policy's thread.
  */
 final class AttemptLifecycle {
     private final PolicyActions actions;
@@ -32,7 +32,7 @@
         this.loadBalancer = loadBalancer;
     }
 
-    /** The last byte of a request's body has come; from now on its open attempts are at work. */
+    /** Handles the arrival of the last byte of a request's body: the endpoints begin to work on its open attempts. */
     void requestCompleted(double now, PendingRequest request, double deadline) {
         if (!request.isBodyPending()) return;
         request.complete(now, deadline);
@@ -41,7 +41,10 @@
         }
     }
 
-    /** The host's work is done once its response begins; what is left is the client's pace. */
+    /**
+     * Handles the start of a response. The attempt releases its slot now, because the rest of the transfer depends on the
+     * client's speed and not on the host.
+     */
     void responseStarted(double now, PendingRequest request, int attemptNumber) {
         request.markResponding();
         Attempt attempt = request.attempt(attemptNumber);
@@ -49,7 +52,7 @@
         requests.dispatch(now);
     }
 
-    /** An attempt has ended: its request is closed, sent again, or answered without having been served. */
+    /** Handles the end of an attempt: closes its request, retries it, or answers it without a response from a host. */
     void ended(double now, PendingRequest request, AttemptResult result) {
         Attempt attempt = request.attempt(result.attempt());
         if (attempt == null || !attempt.isOpen()) return;
@@ -63,18 +66,18 @@
     }
 
     private void retryOrComplete(double now, PendingRequest request, Outcome outcome) {
-        // The budget pays for a retry also where, as nothing left this gateway, there is none.
-        boolean retry = retries.takeRetry(now, request) && outcome != Outcome.NOT_SENT;
-        if (retry) requests.retry(request);
+        // If nothing was sent the request is not retried, even though takeRetry has spent a token of the budget.
+        boolean shouldRetry = retries.takeRetry(now, request) && outcome != Outcome.NOT_SENT;
+        if (shouldRetry) requests.retry(request);
         else requests.completeUnserved(request);
     }
 
-    /** Cancels attempts that take far too long where their requests can be sent elsewhere in time. */
+    /** Records attempts that have become overdue, and cancels those whose requests can be sent elsewhere in time. */
     void detectOverdue(double now) {
-        outstanding.detectOverdue(now, this::overdue);
+        outstanding.detectOverdue(now, this::handleOverdue);
     }
 
-    private void overdue(double now, Attempt attempt) {
+    private void handleOverdue(double now, Attempt attempt) {
         PendingRequest request = attempt.request();
         loadBalancer.recordOverdue(
                 now, attempt.endpoint(), request.trafficClass().spec());
--- a/src/main/java/caperrudder/policy/EventLoopStalls.java
+++ b/src/main/java/caperrudder/policy/EventLoopStalls.java
@@ -1,30 +1,33 @@
 package caperrudder.policy;
 
 /**
- * How long this gateway's event loop has stood still, by timer ticks that came late. What arrived during a stall is
- * read only after it, so no host or peer is blamed for that time. Confined to the policy's thread.
+ * Measures how long this gateway's event loop was blocked, from timer ticks that fired late. Messages that arrive during
+ * a stall are read only after it, so this time must not count against hosts or peers. Confined to the policy's thread.
  */
 final class EventLoopStalls {
     private final double tickMs;
-    private double tickedAt;
+    private double lastTickAt;
     private double totalMs;
 
-    /** From {@code now} on a tick is due every {@code tickMs} milliseconds; one later than that again is a stall. */
+    /**
+     * Starts at {@code now}. A tick is due every {@code tickMs} milliseconds; one that is delayed by more than
+     * {@code tickMs} ends a stall.
+     */
     EventLoopStalls(double now, double tickMs) {
-        this.tickedAt = now;
+        this.lastTickAt = now;
         this.tickMs = tickMs;
     }
 
-    /** Notes a tick; returns how long the loop stood still before it, or 0 where it came in time. */
+    /** Records a tick. Returns the duration in milliseconds of the stall before it, or 0 if there was none. */
     double noteTick(double now) {
-        double late = now - tickedAt - tickMs;
-        tickedAt = now;
-        if (late <= tickMs) return 0;
-        totalMs += late;
-        return late;
+        double delayMs = now - lastTickAt - tickMs;
+        lastTickAt = now;
+        if (delayMs <= tickMs) return 0;
+        totalMs += delayMs;
+        return delayMs;
     }
 
-    /** Time of all stalls since the start, in milliseconds. */
+    /** Returns the total duration of all stalls since the start, in milliseconds. */
     double totalMs() {
         return totalMs;
     }
--- a/src/main/java/caperrudder/policy/OutstandingAttempts.java
+++ b/src/main/java/caperrudder/policy/OutstandingAttempts.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 
 /**
- * The attempts at work, by endpoint. Each takes a slot of the concurrency limit and counts at its endpoint. Endpoints
- * stand in the order in which they got work, attempts in the order in which they began. Confined to the policy's
- * thread.
+ * The working attempts, by endpoint. Each holds a slot of the concurrency limit and is counted at its endpoint. Endpoints
+ * are visited in the order in which they last became busy, attempts in the order in which their work began. Confined to
+ * the policy's thread.
  */
 final class OutstandingAttempts {
-    private static final int USUAL_PER_ENDPOINT = 4;
+    private static final int TYPICAL_ATTEMPTS_PER_ENDPOINT = 4;
 
     private final Map<Endpoint, List<Attempt>> byEndpoint = new LinkedHashMap<>();
     private final ConcurrencyLimit limit;
     private final LoadBalancer loadBalancer;
     private final EventLoopStalls stalls;
 
-    /** Is notified of each attempt that becomes overdue; it may begin and end attempts. */
+    /** Receives the attempts that become overdue. It may begin and end attempts. */
     interface OverdueListener {
         void overdue(double now, Attempt attempt);
     }
@@ -32,18 +32,18 @@
         this.stalls = stalls;
     }
 
-    /** The endpoint begins to work on an attempt, unless it has begun. */
+    /** Records that the endpoint begins to work on an attempt; does nothing if it already does. */
     void begin(double now, Attempt attempt) {
         if (attempt.isWorking()) return;
         attempt.beginWork(now, stalls.totalMs());
         byEndpoint
-                .computeIfAbsent(attempt.endpoint(), endpoint -> new ArrayList<>(USUAL_PER_ENDPOINT))
+                .computeIfAbsent(attempt.endpoint(), endpoint -> new ArrayList<>(TYPICAL_ATTEMPTS_PER_ENDPOINT))
                 .add(attempt);
         loadBalancer.attemptStarted(attempt.endpoint(), attempt.expectedWorkMs());
         limit.acquire();
     }
 
-    /** The endpoint's work on an attempt ends, if it has begun. */
+    /** Records the end of the endpoint's work on an attempt; does nothing if the attempt is not working. */
     void end(Attempt attempt) {
         if (!attempt.isWorking()) return;
         attempt.endWork();
@@ -54,18 +54,18 @@
         loadBalancer.attemptFinished(attempt.endpoint(), attempt.expectedWorkMs());
     }
 
-    /** Finds the attempts that have become overdue since the last call. */
+    /** Notifies the listener of each attempt that has become overdue since the last call. */
     void detectOverdue(double now, OverdueListener listener) {
         for (Endpoint endpoint : new ArrayList<>(byEndpoint.keySet())) {
             for (Attempt attempt : new ArrayList<>(byEndpoint.getOrDefault(endpoint, List.of()))) {
-                if (attempt.isOverdue() || !isLate(now, attempt)) continue;
+                if (attempt.isOverdue() || !takesTooLong(now, attempt)) continue;
                 attempt.markOverdue();
                 listener.overdue(now, attempt);
             }
         }
     }
 
-    private boolean isLate(double now, Attempt attempt) {
+    private boolean takesTooLong(double now, Attempt attempt) {
         double elapsedMs = attempt.elapsedMs(now, stalls.totalMs());
         return loadBalancer.isOverdue(now, attempt.endpoint(), attempt.expectedWorkMs(), elapsedMs);
     }
--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -11,16 +11,16 @@
 import java.util.List;
 
 /**
- * A request from its arrival until it is closed and all of its attempts have ended. It is closed once nothing more is
- * due to its client. Times are milliseconds of the policy's clock. Confined to the policy's thread.
+ * A request from its arrival until it is closed and all of its attempts have ended. It is closed once its client has its
+ * answer or has disconnected. Times are milliseconds of the policy's clock. Confined to the policy's thread.
  */
 final class PendingRequest implements Schedulable, QuotaRequest {
-    private static final int USUAL_ATTEMPTS = 2;
+    private static final int TYPICAL_ATTEMPTS = 2;
 
     private final Request request;
     private final TrafficClass trafficClass;
     private final CustomerQuota quota;
-    private final List<Attempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final List<Attempt> attempts = new ArrayList<>(TYPICAL_ATTEMPTS);
     private double arrivedAt;
     private double deadline;
     private boolean bodyPending;
@@ -28,9 +28,9 @@
     private boolean admitted;
     private boolean responding;
     private boolean closed;
-    private OwnerRequest ownerRequest; // null where no owner of the quota was asked
+    private OwnerRequest ownerRequest; // null if no owner of the quota was asked
 
-    /** {@code quota}: of the customer, or null where the settings do not name its plan. */
+    /** @param quota of the customer; null if the settings do not define its plan or the quota table is full */
     PendingRequest(Request request, TrafficClass trafficClass, CustomerQuota quota) {
         this.request = request;
         this.trafficClass = trafficClass;
@@ -70,26 +70,26 @@
 
     @Override
     public double expectedValueShare() {
-        double inTime = trafficClass.shareWithinObjective(expectedWorkMs());
-        return inTime + (1 - inTime) * trafficClass.spec().lateValue();
+        double inTimeShare = trafficClass.shareWithinObjective(expectedWorkMs());
+        return inTimeShare + (1 - inTimeShare) * trafficClass.spec().lateValue();
     }
 
-    /** The quota of its customer, or null where the settings do not name its plan. */
+    /** Returns the quota of the customer; null if the settings do not define its plan or the quota table is full. */
     CustomerQuota quota() {
         return quota;
     }
 
-    /** What the decision of the quota's owner on it is awaited by, or null where no owner was asked. */
+    /** Returns the request for the decision of the quota's owner, or null if no owner was asked. */
     OwnerRequest ownerRequest() {
         return ownerRequest;
     }
 
-    /** The quota's owner decides on it. */
-    void awaitOwner(OwnerRequest asked) {
-        ownerRequest = asked;
+    /** Records that the quota's owner is asked for the decision. */
+    void awaitOwner(OwnerRequest decisionRequest) {
+        ownerRequest = decisionRequest;
     }
 
-    /** Since when its client waits: its arrival, or the end of its body where that came later. */
+    /** Returns the time since which the client has been waiting: the arrival, or the later end of the body. */
     double arrivedAt() {
         return arrivedAt;
     }
@@ -98,19 +98,19 @@
         return deadline;
     }
 
-    /** Whether the end of its body is still to come. */
+    /** Whether the end of the body has not arrived yet. */
     boolean isBodyPending() {
         return bodyPending;
     }
 
-    /** The end of its body has come: its client waits from now on. */
+    /** Records that the end of the body has arrived. The client's waiting time starts now. */
     void complete(double now, double newDeadline) {
         bodyPending = false;
         arrivedAt = now;
         deadline = newDeadline;
     }
 
-    /** Whether it can be sent again; false once a part of its body has left and is kept nowhere. */
+    /** Whether the request can be sent again; false once a part of its body was sent without being buffered. */
     boolean isReplayable() {
         return replayable;
     }
@@ -127,7 +127,7 @@
         admitted = true;
     }
 
-    /** Whether the first bytes of a response have gone to its client. */
+    /** Whether the first bytes of a response have been sent to the client. */
     boolean isResponding() {
         return responding;
     }
@@ -136,7 +136,7 @@
         responding = true;
     }
 
-    /** Whether nothing more is due to its client. */
+    /** Whether the client has its answer or has disconnected. */
     boolean isClosed() {
         return closed;
     }
@@ -145,7 +145,7 @@
         closed = true;
     }
 
-    /** In the order in which they were sent; not to be changed. */
+    /** Returns the attempts in the order in which they were sent. Callers must not change the list. */
     List<Attempt> attempts() {
         return attempts;
     }
@@ -154,19 +154,19 @@
         return !attempts.isEmpty();
     }
 
-    /** The attempt of this number, or null where there is none. */
+    /** Returns the attempt of this number, or null if there is none. */
     Attempt attempt(int number) {
         return number >= 0 && number < attempts.size() ? attempts.get(number) : null;
     }
 
-    /** Adds the next attempt. */
+    /** Adds an attempt at this endpoint, whose first byte is sent at {@code now}. */
     Attempt addAttempt(Endpoint endpoint, double now) {
         Attempt attempt = new Attempt(this, attempts.size(), endpoint, now);
         attempts.add(attempt);
         return attempt;
     }
 
-    /** The endpoints of all attempts in their order; one that had several stands there as often. */
+    /** Returns the endpoints of all attempts in order; one that had several attempts is listed as often. */
     List<Endpoint> attemptedEndpoints() {
         if (attempts.isEmpty()) return List.of();
         List<Endpoint> endpoints = new ArrayList<>(attempts.size());
@@ -176,7 +176,7 @@
         return endpoints;
     }
 
-    /** The first attempt not known never to have run, or null. */
+    /** Returns the first attempt that its endpoint may have run, or null if there is none. */
     Attempt firstThatMayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveRun()) return attempt;
@@ -184,12 +184,12 @@
         return null;
     }
 
-    /** Whether a host may have run it. */
+    /** Whether a host may have run the request. */
     boolean mayHaveRun() {
         return firstThatMayHaveRun() != null;
     }
 
-    /** Whether an attempt may have come whole to a host. */
+    /** Whether a host may have received the complete request. */
     boolean mayHaveArrivedAtHost() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveArrived()) return true;
--- a/src/main/java/caperrudder/policy/PendingRequests.java
+++ b/src/main/java/caperrudder/policy/PendingRequests.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The requests of this gateway by their ids, each from its arrival until it is closed and all of its attempts have
- * ended. Their number is bounded by what the server holds open. Confined to the policy's thread.
+ * The requests of this gateway by id, each from its arrival until it is closed and all of its attempts have ended. Their
+ * number is bounded by the server's limit on open requests. Confined to the policy's thread.
  */
 final class PendingRequests {
     private final Map<String, PendingRequest> byId = new LinkedHashMap<>();
@@ -14,7 +14,7 @@
         return byId.isEmpty();
     }
 
-    /** The pending request of this id, or null where there is none: events may come for one that has ended. */
+    /** Returns the request of this id, or null if it is not pending, as events may arrive for one that has ended. */
     PendingRequest find(String id) {
         return byId.get(id);
     }
--- a/src/main/java/caperrudder/policy/RequestAdmission.java
+++ b/src/main/java/caperrudder/policy/RequestAdmission.java
@@ -11,8 +11,8 @@
 import caperrudder.policy.scheduling.TrafficClass;
 
 /**
- * Takes in each request and decides on it by its customer's quota: here where that can be decided here, otherwise by
- * the reply of the quota's owner. Confined to the policy's thread.
+ * Receives each request and admits or rejects it by its customer's quota. Asks an owner of the quota if this gateway
+ * cannot decide by itself. Confined to the policy's thread.
  */
 final class RequestAdmission {
     private final PendingRequests pending;
@@ -34,15 +34,16 @@
         this.requests = requests;
     }
 
-    /** A request of this class has arrived. */
+    /** Handles the arrival of a request of this class. */
     void receive(double now, Request received, TrafficClass trafficClass) {
         int plan = quotas.planNumber(received.plan());
         boolean planKnown = plan != QuotaTable.UNKNOWN_PLAN;
         CustomerQuota quota = planKnown ? findQuota(now, received, plan) : null;
         PendingRequest request = new PendingRequest(received, trafficClass, quota);
         pending.add(request);
-        // A stall of this gateway has used up its time: it is answered at once, before it costs others theirs. That
-        // also covers a burst at a slow start, and could hurt where what was read is younger than the stall.
+        // The request expired before this gateway could read it, because of a stall or a burst during startup. It is
+        // answered at once, so that it does not delay others. The arrival time includes the whole lag of the event
+        // loop, so a request that arrived late in a stall may be dropped too early.
         if (request.arrivedAt() < now && now >= RequestExpiry.expiresAt(request)) {
             requests.completeUnserved(request);
             return;
@@ -62,20 +63,21 @@
 
     private AdmissionVerdict evaluate(double now, PendingRequest request, boolean planKnown) {
         if (request.quota() != null) return admission.evaluate(now, request.quota(), request);
-        return planKnown ? AdmissionVerdict.REJECT : AdmissionVerdict.ADMIT; // known, but the table is full
+        // A customer of a known plan has no quota only if the quota table is full.
+        return planKnown ? AdmissionVerdict.REJECT : AdmissionVerdict.ADMIT;
     }
 
     private void askOwner(double now, PendingRequest request) {
-        OwnerRequest ownerRequest = new OwnerRequest(request.quota(), new HeldRequest(request));
+        OwnerRequest ownerRequest = new OwnerRequest(request.quota(), new PendingDecision(request));
         request.awaitOwner(ownerRequest);
         gossip.ask(now, ownerRequest, request.arrivedAt());
     }
 
-    /** A request whose decision is up to an owner of its customer's quota. */
-    private final class HeldRequest implements QuotaApplicant {
+    /** A request that awaits the decision of an owner of its customer's quota. */
+    private final class PendingDecision implements QuotaApplicant {
         private final PendingRequest request;
 
-        HeldRequest(PendingRequest request) {
+        PendingDecision(PendingRequest request) {
             this.request = request;
         }
 
--- a/src/main/java/caperrudder/policy/RequestExpiry.java
+++ b/src/main/java/caperrudder/policy/RequestExpiry.java
@@ -2,35 +2,39 @@
 
 import caperrudder.api.RequestClass;
 
-/** When a request that waits here must have left or be answered here (rule 1, and no work for late responses). */
+/**
+ * Computes when a waiting request must be answered by this gateway (rule 1), and from when on dispatching it is useless
+ * because its response would come too late.
+ */
 final class RequestExpiry {
-    private static final double DEADLINE_MARGIN_MS = 40; // answered this long before the deadline: two timer ticks
-    private static final double UNDELIVERED_SHARE = 0.4; // of its time: then what never came to a host is decided
-    private static final double LATE_VALUE_KEPT = 0.5; // value of a late response from which it merits a slot
-    private static final double MIN_WORK_MULTIPLE = 3; // expected times that a waiting request must still have
-    private static final double MIN_HOLD_SHARE = 0.1; // share of the latency objective that any request may wait
+    private static final double DEADLINE_MARGIN_MS = 40; // two timer ticks
+    private static final double UNDELIVERED_DEADLINE_SHARE = 0.4; // of the time until the deadline
+    private static final double MIN_USEFUL_LATE_VALUE = 0.5; // a late response of less value is not worth a slot
+    private static final double MIN_REMAINING_WORK_MULTIPLE = 3; // expected latencies that must be left at dispatch
+    private static final double MIN_QUEUE_DELAY_OBJECTIVE_SHARE = 0.1; // that any request may wait
 
     private RequestExpiry() {}
 
-    /** When this gateway must answer a request at the latest, in milliseconds of the policy's clock. */
+    /** Returns the latest time to answer a request, in milliseconds of the policy's clock. */
     static double answerDueAt(PendingRequest request) {
         return request.deadline() - DEADLINE_MARGIN_MS;
     }
 
-    /** From when on a request is not worth dispatching any more, in milliseconds of the policy's clock. */
+    /** Returns the time from which a request is not worth dispatching, in milliseconds of the policy's clock. */
     static double expiresAt(PendingRequest request) {
-        double latest = answerDueAt(request);
-        if (request.mayHaveRun()) return latest;
+        double latestAt = answerDueAt(request);
+        if (request.mayHaveRun()) return latestAt;
         double arrivedAt = request.arrivedAt();
         if (!request.mayHaveArrivedAtHost()) {
-            // What reached no host by half of the client's time has cost it that time for nothing.
-            double time = request.deadline() - arrivedAt;
-            latest = Math.min(latest, arrivedAt + UNDELIVERED_SHARE * time);
+            // A request that no host has received is answered before half of the client's time is lost.
+            double timeToDeadlineMs = request.deadline() - arrivedAt;
+            latestAt = Math.min(latestAt, arrivedAt + UNDELIVERED_DEADLINE_SHARE * timeToDeadlineMs);
         }
         RequestClass spec = request.trafficClass().spec();
         double objectiveMs = spec.latencyObjectiveMs();
-        double usefulUntil = spec.lateValue() >= LATE_VALUE_KEPT ? latest : Math.min(latest, arrivedAt + objectiveMs);
-        double holdMs = usefulUntil - arrivedAt - MIN_WORK_MULTIPLE * request.expectedWorkMs();
-        return Math.min(latest, arrivedAt + Math.max(MIN_HOLD_SHARE * objectiveMs, holdMs));
+        double usefulUntil =
+                spec.lateValue() >= MIN_USEFUL_LATE_VALUE ? latestAt : Math.min(latestAt, arrivedAt + objectiveMs);
+        double queueDelayMs = usefulUntil - arrivedAt - MIN_REMAINING_WORK_MULTIPLE * request.expectedWorkMs();
+        return Math.min(latestAt, arrivedAt + Math.max(MIN_QUEUE_DELAY_OBJECTIVE_SHARE * objectiveMs, queueDelayMs));
     }
 }
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -13,9 +13,8 @@
 import caperrudder.policy.scheduling.TrafficClass;
 
 /**
- * The way of each request from the decision on it to its one final answer: admitted to the queue of its class or
- * rejected, dispatched when its turn comes, expired where it waits too long, and closed. Confined to the policy's
- * thread.
+ * Handles each request from the admission decision to its single final answer: enqueues or rejects it, dispatches it
+ * when the scheduler selects it, expires it if it waits too long, and closes it. Confined to the policy's thread.
  */
 final class RequestLifecycle {
     private final PolicyActions actions;
@@ -48,21 +47,21 @@
         this.overdueShare = overdueShare;
     }
 
-    /** Admits a request: charges its quota and puts it into the queue of its class. */
+    /** Admits a request: charges its quota and appends it to the queue of its class. */
     void admit(double now, PendingRequest request) {
         request.markAdmitted();
         CustomerQuota quota = request.quota();
         if (quota != null) quota.admitted(now, request.units(), request.expectedWorkMs());
         scheduler.enqueue(request);
         dispatch(now);
-        // What would wait beyond its use is rejected at once, and what has no time left may not wait (rule 1).
+        // A request that would expire in the queue is answered at once (rule 1).
         boolean waits = !request.isClosed() && !request.hasAttempts();
         if (waits && now + scheduler.drainTimeMs(request.trafficClass()) >= RequestExpiry.expiresAt(request)) {
             completeUnserved(request);
         }
     }
 
-    /** Rejects a request by its quota. */
+    /** Rejects a request that does not fit its customer's quota. */
     void reject(double now, PendingRequest request) {
         close(request);
         CustomerQuota quota = request.quota();
@@ -70,21 +69,24 @@
         actions.reject(request.id(), retryAfter.of(estimateMs));
     }
 
-    /** Dispatches what may leave now. */
+    /** Dispatches queued requests while slots are free. */
     void dispatch(double now) {
         scheduler.dispatch(now, limit.slots(loadBalancer.capacity()));
     }
 
-    /** Answers the requests of a class that have waited too long to be of use. */
+    /** Answers the queued requests of a class that have expired. */
     void expire(double now, TrafficClass trafficClass) {
         for (PendingRequest request :
                 scheduler.waiting(trafficClass, waiting -> now >= RequestExpiry.expiresAt(waiting))) {
             trafficClass.noteHold(now - request.arrivedAt());
-            completeUnserved(request); // takes it from the queue
+            completeUnserved(request); // also removes it from the queue
         }
     }
 
-    /** The client has gone: nothing more is sent for it, and what is under way is cancelled where that is of use. */
+    /**
+     * Handles the disconnection of a client: closes its request and cancels the open attempts, unless cancellation is not
+     * permitted or a response has begun.
+     */
     void clientDisconnected(PendingRequest request) {
         close(request);
         for (Attempt attempt : request.attempts()) {
@@ -94,22 +96,25 @@
         }
     }
 
-    /** Puts a request whose attempts have ended back to the head of its queue. */
+    /** Returns a request whose attempts have ended to the head of its queue. */
     void retry(PendingRequest request) {
         scheduler.requeue(request);
     }
 
-    /** The final answer where no response was served: a rejection only where a client's retry is harmless (rule 2). */
+    /**
+     * Sends the final answer to a request that no response was served for: a rejection if a retry by the client is
+     * harmless (rule 2), otherwise a failure.
+     */
     void completeUnserved(PendingRequest request) {
         if (request.isAdmitted() && !request.isClosed()) overdueShare.note(true);
         boolean harmless = RetryPolicy.isRejectionHarmless(request);
         close(request);
-        // A slot may be had once what waits now has left.
+        // A retry can expect a slot once the requests that are queued now have been dispatched.
         if (harmless) actions.reject(request.id(), retryAfter.of(scheduler.drainTimeMs(request.trafficClass())));
         else actions.fail(request.id());
     }
 
-    /** Nothing more is due to the client; the request is forgotten once its attempts have ended, too. */
+    /** Closes a request whose client has its answer or has disconnected. Forgets it unless it has open attempts. */
     void close(PendingRequest request) {
         if (!request.hasOpenAttempt()) pending.remove(request);
         if (request.isClosed()) return;
@@ -122,11 +127,11 @@
         if (request.ownerRequest() != null) gossip.withdraw(request.ownerRequest());
         if (!request.isAdmitted()) return;
         request.quota().closed();
-        boolean sentWhole = request.hasAttempts() && !request.isBodyPending();
-        if (!sentWhole) request.quota().giveBack(request.units());
+        boolean sentCompletely = request.hasAttempts() && !request.isBodyPending();
+        if (!sentCompletely) request.quota().giveBack(request.units());
     }
 
-    /** Forgets a closed request whose attempts have ended. */
+    /** Forgets a request if it is closed and all of its attempts have ended. */
     void forgetIfEnded(PendingRequest request) {
         if (request.isClosed() && !request.hasOpenAttempt()) pending.remove(request);
     }
--- a/src/main/java/caperrudder/policy/RetryAfter.java
+++ b/src/main/java/caperrudder/policy/RetryAfter.java
@@ -2,10 +2,12 @@
 
 import caperrudder.api.Limits;
 
-/** The time after which a rejected client is asked to come back (Retry-After). */
+/** Computes the Retry-After delay of rejected requests. */
 final class RetryAfter {
-    private static final double MIN_MS = TrafficPolicy.TICK_MS; // nothing changes sooner
-    static final double NONE = 0; // as the interface says that no time is given
+    /** The value by which {@link caperrudder.api.PolicyActions#reject} sends no Retry-After. */
+    static final double NONE = 0;
+
+    private static final double MIN_MS = TrafficPolicy.TICK_MS; // capacity and quota may change with the next tick
 
     private final Limits limits;
 
@@ -13,7 +15,10 @@
         this.limits = limits;
     }
 
-    /** The estimate in milliseconds, within the bounds of the settings; 0 where clients are given no time. */
+    /**
+     * Returns the estimate in milliseconds, clamped to between a tick and the maximum of the settings; {@link #NONE} if
+     * the settings permit no Retry-After.
+     */
     double of(double estimateMs) {
         return limits.retryAfter() ? Math.min(limits.maxRetryAfterMs(), Math.max(MIN_MS, estimateMs)) : NONE;
     }
--- a/src/main/java/caperrudder/policy/RetryPolicy.java
+++ b/src/main/java/caperrudder/policy/RetryPolicy.java
@@ -4,7 +4,7 @@
 import caperrudder.policy.retry.RetryBudget;
 import caperrudder.policy.retry.RetrySafety;
 
-/** Whether a request gets another attempt: by its safety, its time, and this gateway's budget of retries. */
+/** Decides whether a request gets another attempt, by its retry safety, its remaining time and the retry budget. */
 final class RetryPolicy {
     private final RetryBudget budget = new RetryBudget();
     private final RetrySafety safety;
@@ -15,30 +15,31 @@
         this.safety = new RetrySafety(limits.connectTimeoutMs());
     }
 
-    /** Counts the first attempt of a request: it earns a part of a retry. */
+    /** Records the first attempt of a request, which earns a fraction of a retry. */
     void noteFirstAttempt() {
         budget.earn();
     }
 
-    /** Whether an attempt sent now does no harm beside those that may have run (rule 2). */
+    /** Whether another attempt now does no harm even if earlier attempts have run (rule 2). */
     boolean isRepeatable(double now, PendingRequest request) {
-        Attempt first = request.firstThatMayHaveRun();
-        return first == null || safety.isRepeatable(now, request.trafficClass().spec(), first.sentAt());
+        Attempt mayHaveRun = request.firstThatMayHaveRun();
+        return mayHaveRun == null
+                || safety.isRepeatable(now, request.trafficClass().spec(), mayHaveRun.sentAt());
     }
 
-    /** Whether a request whose attempts have ended may be sent again; the budget pays for it at once. */
+    /** Whether a request whose attempts have ended may be sent again; if so, spends a token of the retry budget. */
     boolean takeRetry(double now, PendingRequest request) {
-        boolean may = isRepeatable(now, request)
+        boolean allowed = isRepeatable(now, request)
                 && !request.isResponding()
                 && request.isReplayable()
                 && now < RequestExpiry.expiresAt(request)
                 && budget.hasToken()
                 && request.attempts().size() < limits.maxAttempts();
-        if (may) budget.spend();
-        return may;
+        if (allowed) budget.spend();
+        return allowed;
     }
 
-    /** Whether an overdue attempt is to be cancelled, so that its request can be sent elsewhere in time. */
+    /** Whether to cancel an overdue attempt so that its request can be sent elsewhere in time. */
     boolean shouldCancel(double now, Attempt attempt) {
         PendingRequest request = attempt.request();
         boolean useful = !request.isClosed()
@@ -48,7 +49,7 @@
         return useful && safe && budget.hasToken();
     }
 
-    /** Whether the client may repeat a request that is rejected now: no host ran it, or its retry does no harm. */
+    /** Whether a retry by the client after a rejection does no harm, because no host ran the request or it may run twice. */
     static boolean isRejectionHarmless(PendingRequest request) {
         return !request.mayHaveRun()
                 || RetrySafety.isRepeatableByClient(request.trafficClass().spec());
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -26,26 +26,29 @@
 import java.util.Random;
 
 /**
- * The decisions of one gateway: each event is handed to the concern that it belongs to, and what that decides leaves as
- * actions. Admission by quota is {@link RequestAdmission}'s, queues and answers are {@link RequestLifecycle}'s,
- * attempts and retries are {@link AttemptLifecycle}'s, and the choice of an endpoint is {@link LoadBalancer}'s.
+ * Makes the decisions of one gateway. It passes each event to the component that handles it, and the decisions are
+ * carried out through {@link PolicyActions}: {@link RequestAdmission} admits requests by quota, {@link RequestLifecycle}
+ * queues and answers them, {@link AttemptLifecycle} handles attempts and retries, and {@link LoadBalancer} chooses
+ * endpoints.
  *
- * <p>Times are milliseconds of the clock of the events. One seed and one sequence of events give one sequence of
- * actions. Not safe for use by several threads: all events come from one thread, and actions may bring further events
- * before they return.
+ * <p>Times are milliseconds of the clock of the events. The policy is deterministic: the same seed and the same sequence
+ * of events yield the same actions. Not thread-safe: all events must come from one thread. An action may deliver further
+ * events before it returns.
  */
 public final class TrafficPolicy implements PolicyEvents {
-    /** How often timers run: waiting requests expire and messages leave on a tick. */
+    /** Interval of the periodic work, such as expiring requests and sending messages to peers. */
     static final double TICK_MS = 20;
 
-    private static final double CLEANUP_MS = 5000; // how often customers and hosts long gone are forgotten
-    private static final double RESUBSCRIBE_AFTER_MS = 3000; // after a call for the endpoint list failed
-    private static final String TICK_TOKEN = "beat"; // as recorded days and the simulator know it
+    private static final double CLEANUP_INTERVAL_MS = 5000; // of idle quotas and unlisted hosts
+    private static final double RESUBSCRIBE_DELAY_MS = 3000; // after a call for the endpoint list has failed
+
+    // Timer names, which recordings and the simulator depend on.
+    private static final String TICK_TOKEN = "beat";
     private static final String SUBSCRIBE_TOKEN = "watch";
 
     private final PolicyActions actions;
     private final PendingRequests pending = new PendingRequests();
-    private TrafficClasses classes = TrafficClasses.NONE; // until started, as all that follows is null
+    private TrafficClasses classes = TrafficClasses.NONE; // until start, like the null fields below
     private LoadBalancer loadBalancer;
     private QuotaTable quotas;
     private QuotaGossip gossip;
@@ -57,7 +60,7 @@
     private RequestAdmission admission;
     private double cleanedUpAt;
 
-    /** A policy that acts through {@code actions} once it is started. */
+    /** Creates a policy that acts through {@code actions} once it is started. */
     public TrafficPolicy(PolicyActions actions) {
         this.actions = actions;
     }
@@ -97,7 +100,7 @@
     @Override
     public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
         if (kind == HostListKind.FAILED) {
-            actions.startTimer(RESUBSCRIBE_AFTER_MS, SUBSCRIBE_TOKEN);
+            actions.startTimer(RESUBSCRIBE_DELAY_MS, SUBSCRIBE_TOKEN);
             return;
         }
         loadBalancer.hostsUpdated(now, kind, hosts);
@@ -107,7 +110,7 @@
     @Override
     public void requestReceived(double now, Request request) {
         TrafficClass trafficClass = classes.find(request.requestClass());
-        // A class that the settings do not name cannot be judged.
+        // A request whose class the settings do not define cannot be scheduled.
         if (trafficClass == null) actions.reject(request.id(), RetryAfter.NONE);
         else admission.receive(now, request, trafficClass);
     }
@@ -148,7 +151,7 @@
         if (token.equals(TICK_TOKEN)) tick(now);
     }
 
-    /** The order matters: what expires or is overdue frees slots for what is dispatched at the end. */
+    /** Runs the periodic work. Requests are dispatched last, because expired and overdue ones may free slots. */
     private void tick(double now) {
         actions.startTimer(TICK_MS, TICK_TOKEN);
         double stalledMs = stalls.noteTick(now);
@@ -167,7 +170,7 @@
     }
 
     private void cleanUp(double now) {
-        if (now - cleanedUpAt < CLEANUP_MS) return;
+        if (now - cleanedUpAt < CLEANUP_INTERVAL_MS) return;
         cleanedUpAt = now;
         quotas.forgetIdle(now, gossip::release);
         loadBalancer.removeUnlisted();
@@ -175,7 +178,7 @@
 
     @Override
     public void peerMessageReceived(double now, int peer, byte[] data) {
-        if (gossip != null) gossip.receive(now, peer, data); // before the start no peer is known
+        if (gossip != null) gossip.receive(now, peer, data); // no peer is known before the start
     }
 
     @Override
@@ -189,7 +192,10 @@
                 now, limit.perHost(), quotas.snapshot(now), loadBalancer.takeSnapshot(), classes.snapshot());
     }
 
-    /** Before the first request all is taken over; from then on only what the other process still uses. */
+    /**
+     * Restores the state of the predecessor. Quotas are always restored, because the predecessor may still be using them.
+     * All other state is restored only if this gateway has no pending requests and no latency samples yet.
+     */
     @Override
     public void restoreSnapshot(double now, Snapshot snapshot) {
         for (QuotaSnapshot quota : snapshot.quotas()) {
@@ -201,7 +207,7 @@
         classes.restore(snapshot.classes());
     }
 
-    /** For tests of the policy as a whole. */
+    /** Returns the load balancer, for tests. */
     LoadBalancer loadBalancer() {
         return loadBalancer;
     }
--- a/src/main/java/caperrudder/policy/package-info.java
+++ b/src/main/java/caperrudder/policy/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The policy: every decision of a gateway, behind {@code caperrudder.api}.
+ * The policy, which makes all decisions of a gateway behind the interfaces of {@code caperrudder.api}.
  *
- * <p>{@link caperrudder.policy.TrafficPolicy} receives an event and hands it to the concern that owns the state it is
- * about: load balancing, scheduling, quotas, gossip or retries, each in a package below. Sockets, files, threads and
- * clocks are unknown here; time comes with the events, and all that is drawn comes from the seed. One instance serves one
- * gateway and is called from one thread.
+ * <p>{@link caperrudder.policy.TrafficPolicy} receives each event and passes it to the component that owns the affected
+ * state: load balancing, scheduling, quotas, gossip or retries, each in its own subpackage. The policy uses no sockets,
+ * files, threads or clocks. Events carry the time, and random numbers are generated from the seed of the settings. One
+ * instance serves one gateway and is called from one thread.
  */
 package caperrudder.policy;
