--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -8,8 +8,8 @@
 import caperrudder.policy.scheduling.Dispatcher;
 
 /**
- * Chooses the endpoint of each request that the scheduler releases, and sends an attempt there. Confined to the policy's
- * thread.
+ * Chooses the endpoint of each request that the scheduler releases, and sends an attempt there. Confined to the
+ * policy's thread.
  */
 final class AttemptDispatcher implements Dispatcher<PendingRequest, Endpoint> {
     private static final double NO_TIMEOUT = 0; // the server enforces the request's deadline
--- a/src/main/java/caperrudder/policy/AttemptLifecycle.java
+++ b/src/main/java/caperrudder/policy/AttemptLifecycle.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Handles the start of a response. The attempt releases its slot now, because the rest of the transfer depends on the
-     * client's speed and not on the host.
+     * Handles the start of a response. The attempt releases its slot now, because the rest of the transfer depends on
+     * the client's speed and not on the host.
      */
     void responseStarted(double now, PendingRequest request, int attemptNumber) {
         request.markResponding();
--- a/src/main/java/caperrudder/policy/EventLoopStalls.java
+++ b/src/main/java/caperrudder/policy/EventLoopStalls.java
@@ -1,8 +1,9 @@
 package caperrudder.policy;
 
 /**
- * Measures how long this gateway's event loop was blocked, from timer ticks that fired late. Messages that arrive during
- * a stall are read only after it, so this time must not count against hosts or peers. Confined to the policy's thread.
+ * Measures how long this gateway's event loop was blocked, from timer ticks that fired late. Messages that arrive
+ * during a stall are read only after it, so this time must not count against hosts or peers. Confined to the policy's
+ * thread.
  */
 final class EventLoopStalls {
     private final double tickMs;
--- a/src/main/java/caperrudder/policy/OutstandingAttempts.java
+++ b/src/main/java/caperrudder/policy/OutstandingAttempts.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * The working attempts, by endpoint. Each holds a slot of the concurrency limit and is counted at its endpoint. Endpoints
- * are visited in the order in which they last became busy, attempts in the order in which their work began. Confined to
- * the policy's thread.
+ * The working attempts, by endpoint. Each holds a slot of the concurrency limit and is counted at its endpoint.
+ * Endpoints are visited in the order in which they last became busy, attempts in the order in which their work began.
+ * Confined to the policy's thread.
  */
 final class OutstandingAttempts {
     private static final int TYPICAL_ATTEMPTS_PER_ENDPOINT = 4;
--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * A request from its arrival until it is closed and all of its attempts have ended. It is closed once its client has its
- * answer or has disconnected. Times are milliseconds of the policy's clock. Confined to the policy's thread.
+ * A request from its arrival until it is closed and all of its attempts have ended. It is closed once its client has
+ * its answer or has disconnected. Times are milliseconds of the policy's clock. Confined to the policy's thread.
  */
 final class PendingRequest implements Schedulable, QuotaRequest {
     private static final int TYPICAL_ATTEMPTS = 2;
--- a/src/main/java/caperrudder/policy/PendingRequests.java
+++ b/src/main/java/caperrudder/policy/PendingRequests.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The requests of this gateway by id, each from its arrival until it is closed and all of its attempts have ended. Their
- * number is bounded by the server's limit on open requests. Confined to the policy's thread.
+ * The requests of this gateway by id, each from its arrival until it is closed and all of its attempts have ended.
+ * Their number is bounded by the server's limit on open requests. Confined to the policy's thread.
  */
 final class PendingRequests {
     private final Map<String, PendingRequest> byId = new LinkedHashMap<>();
--- a/src/main/java/caperrudder/policy/RequestExpiry.java
+++ b/src/main/java/caperrudder/policy/RequestExpiry.java
@@ -8,10 +8,10 @@
  */
 final class RequestExpiry {
     private static final double DEADLINE_MARGIN_MS = 40; // two timer ticks
-    private static final double UNDELIVERED_DEADLINE_SHARE = 0.4; // of the time until the deadline
+    private static final double UNDELIVERED_DEADLINE_SHARE = 0.4; // time allowed to requests that no host has received
     private static final double MIN_USEFUL_LATE_VALUE = 0.5; // a late response of less value is not worth a slot
     private static final double MIN_REMAINING_WORK_MULTIPLE = 3; // expected latencies that must be left at dispatch
-    private static final double MIN_QUEUE_DELAY_OBJECTIVE_SHARE = 0.1; // that any request may wait
+    private static final double MIN_QUEUE_DELAY_OBJECTIVE_SHARE = 0.1; // queue delay allowed to any request
 
     private RequestExpiry() {}
 
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Handles the disconnection of a client: closes its request and cancels the open attempts, unless cancellation is not
-     * permitted or a response has begun.
+     * Handles the disconnection of a client: closes its request and cancels the open attempts, unless cancellation is
+     * not permitted or a response has begun.
      */
     void clientDisconnected(PendingRequest request) {
         close(request);
--- a/src/main/java/caperrudder/policy/RetryPolicy.java
+++ b/src/main/java/caperrudder/policy/RetryPolicy.java
@@ -49,7 +49,10 @@
         return useful && safe && budget.hasToken();
     }
 
-    /** Whether a retry by the client after a rejection does no harm, because no host ran the request or it may run twice. */
+    /**
+     * Whether a retry by the client after a rejection does no harm, because no host ran the request or it may run
+     * twice.
+     */
     static boolean isRejectionHarmless(PendingRequest request) {
         return !request.mayHaveRun()
                 || RetrySafety.isRepeatableByClient(request.trafficClass().spec());
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -27,13 +27,13 @@
 
 /**
  * Makes the decisions of one gateway. It passes each event to the component that handles it, and the decisions are
- * carried out through {@link PolicyActions}: {@link RequestAdmission} admits requests by quota, {@link RequestLifecycle}
- * queues and answers them, {@link AttemptLifecycle} handles attempts and retries, and {@link LoadBalancer} chooses
- * endpoints.
+ * carried out through {@link PolicyActions}. {@link RequestAdmission} admits requests by quota,
+ * {@link RequestLifecycle} queues and answers them, {@link AttemptLifecycle} handles attempts and retries, and
+ * {@link LoadBalancer} chooses endpoints.
  *
- * <p>Times are milliseconds of the clock of the events. The policy is deterministic: the same seed and the same sequence
- * of events yield the same actions. Not thread-safe: all events must come from one thread. An action may deliver further
- * events before it returns.
+ * <p>Times are milliseconds of the clock of the events. The policy is deterministic: the same seed and the same
+ * sequence of events yield the same actions. Not thread-safe: all events must come from one thread. An action may
+ * deliver further events before it returns.
  */
 public final class TrafficPolicy implements PolicyEvents {
     /** Interval of the periodic work, such as expiring requests and sending messages to peers. */
@@ -193,8 +193,8 @@
     }
 
     /**
-     * Restores the state of the predecessor. Quotas are always restored, because the predecessor may still be using them.
-     * All other state is restored only if this gateway has no pending requests and no latency samples yet.
+     * Restores the state of the predecessor. Quotas are always restored, because the predecessor may still be using
+     * them. All other state is restored only if this gateway has no pending requests and no latency samples yet.
      */
     @Override
     public void restoreSnapshot(double now, Snapshot snapshot) {
--- a/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Appends a request. If the queue was empty, the virtual time of the class is raised to that of the scheduler, so that
-     * a class earns no credit while it is idle.
+     * Appends a request. If the queue was empty, the virtual time of the class is raised to that of the scheduler, so
+     * that a class earns no credit while it is idle.
      */
     void addLast(R request, double schedulerVirtualTime) {
         if (queue.isEmpty()) virtualTime = Math.max(virtualTime, schedulerVirtualTime);
--- a/src/main/java/caperrudder/policy/scheduling/ClassWeight.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassWeight.java
@@ -9,7 +9,7 @@
     /** Minimum weight, as a share of the sum of all weights, so that no class starves. */
     static final double MIN = 0.02;
 
-    /** Relative tolerance about the delay goal within which a class keeps its weight; epsilon in page PAPER. */
+    /** Relative tolerance around the delay goal within which a class keeps its weight; epsilon in page PAPER. */
     static final double EPSILON = 0.1;
 
     private static final double DELAY_RETENTION = 0.7; // of the smoothed delay at each tick; alpha in page PAPER
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Measures the slope from the changes of weight and delay since the last call. Keeps the previous slope if the weight
-     * has hardly changed, or if the delay has not clearly moved in the opposite direction.
+     * Measures the slope from the changes of weight and delay since the last call. Keeps the previous slope if the
+     * weight has hardly changed, or if the delay has not clearly moved in the opposite direction.
      */
     void measureSlope() {
         double weightGain = weight - previousWeight;
@@ -80,7 +80,7 @@
         return delayRatio() >= 1 + EPSILON;
     }
 
-    /** Returns the weight to add so that the delay of an underweight class falls to its goal. */
+    /** Returns the weight that an underweight class needs in addition so that its delay falls to the goal. */
     double wantedWeight() {
         return slope > 0 ? (delayMs - goalMs) / slope : INITIAL_WEIGHT_STEP;
     }
@@ -91,7 +91,9 @@
         return (goalMs - delayMs) / (slope > 0 ? slope : goalMs);
     }
 
-    /** Returns the weight that an overweight class can lose before its delay reaches the tolerance below the goal. */
+    /**
+     * Returns the weight that an overweight class can lose before its delay reaches the tolerance band around the goal.
+     */
     double largestGift() {
         return slope > 0 ? ((1 - EPSILON) * goalMs - delayMs) / slope : INITIAL_WEIGHT_STEP;
     }
--- a/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
+++ b/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
@@ -20,8 +20,8 @@
     private static final int MIN_ENDED_ATTEMPTS = 8; // with fewer the adaptation is postponed
     private static final int MAX_INTERVALS_PER_ADAPTATION = 8;
     private static final double INFLATED_LATENCY_RATIO = 1.7; // latency over its base from which hosts are queueing
-    private static final double HARMLESS_OBJECTIVE_SHARE = 0.1; // a lower share of the objective is no congestion
-    private static final double CONGESTED_OBJECTIVE_SHARE = 0.5; // a higher share of the objective always is
+    private static final double MAX_HARMLESS_OBJECTIVE_SHARE = 0.1; // a lower mean latency is never congestion
+    private static final double MAX_UNCONGESTED_OBJECTIVE_SHARE = 0.5; // a higher mean latency is always congestion
     private static final double BURST_SLOT_FACTOR = 0.7; // extra slots per square root of a gateway's even share
 
     private final int gatewayCount;
@@ -129,8 +129,8 @@
      */
     private boolean isCongested() {
         return (latencySumMs > INFLATED_LATENCY_RATIO * baseLatencySumMs
-                        && objectiveShareSum > HARMLESS_OBJECTIVE_SHARE * responseCount)
-                || objectiveShareSum > CONGESTED_OBJECTIVE_SHARE * responseCount
+                        && objectiveShareSum > MAX_HARMLESS_OBJECTIVE_SHARE * responseCount)
+                || objectiveShareSum > MAX_UNCONGESTED_OBJECTIVE_SHARE * responseCount
                 || timeoutCount > responseCount;
     }
 
--- a/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
+++ b/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
@@ -25,7 +25,9 @@
     private final Dispatcher<R, D> dispatcher;
     private double virtualTime; // of the class served last; never decreases
 
-    /** Creates an empty queue for each class. Of the classes with equal virtual times, the first listed is served first. */
+    /**
+     * Creates an empty queue for each class. Of the classes with equal virtual times, the first listed is served first.
+     */
     public FairScheduler(List<TrafficClass> classes, ConcurrencyLimit limit, Dispatcher<R, D> dispatcher) {
         this.limit = limit;
         this.dispatcher = dispatcher;
@@ -61,8 +63,8 @@
     }
 
     /**
-     * Returns the estimated time in milliseconds until all requests now in the queue of a class are dispatched, from the
-     * recent dispatch rate.
+     * Returns the estimated time in milliseconds until all requests now in the queue of a class are dispatched, from
+     * the recent dispatch rate.
      */
     public double drainTimeMs(TrafficClass trafficClass) {
         return queueOf(trafficClass).drainTimeMs();
--- a/src/main/java/caperrudder/policy/scheduling/LatencyEstimate.java
+++ b/src/main/java/caperrudder/policy/scheduling/LatencyEstimate.java
@@ -1,11 +1,12 @@
 package caperrudder.policy.scheduling;
 
 /**
- * Estimates the latency of the attempts of one traffic class per quota unit of the request: as a moving average of recent
- * attempts, and as the base latency on hosts without queues. Times are in milliseconds. Confined to the policy's thread.
+ * Estimates the latency of the attempts of one traffic class per quota unit of the request: as a moving average of
+ * recent attempts, and as the base latency on hosts without queues. Times are in milliseconds. Confined to the policy's
+ * thread.
  */
 public final class LatencyEstimate {
-    private static final double INITIAL_OBJECTIVE_SHARE = 0.2; // expected latency of the largest request at first
+    private static final double INITIAL_OBJECTIVE_SHARE = 0.2; // initial latency of the largest request
     private static final double MIN_UNITS = 0.1; // smaller requests are assumed to take as long as one of this size
     private static final double MIN_SAMPLE_GAIN = 0.03; // minimum weight of a sample in the moving average
     private static final int MIN_BASE_SAMPLES = 20; // with fewer the base equals the moving average
--- a/src/main/java/caperrudder/policy/scheduling/ResponseTimeHistogram.java
+++ b/src/main/java/caperrudder/policy/scheduling/ResponseTimeHistogram.java
@@ -4,8 +4,8 @@
  * The distribution of the response times of one traffic class. A response time runs from the arrival of the request. It
  * is recorded as a multiple of the latency expected for a request of its size. Older samples decay exponentially.
  *
- * <p>The upper bounds of the buckets form a geometric series; the last bucket also takes all higher samples. Confined to
- * the policy's thread.
+ * <p>The upper bounds of the buckets form a geometric series; the last bucket also takes all higher samples. Confined
+ * to the policy's thread.
  */
 public final class ResponseTimeHistogram {
     private static final int BUCKET_COUNT = 16;
@@ -38,8 +38,9 @@
     }
 
     /**
-     * Returns the share of responses, from 0 to 1, that take at most this multiple of the expected latency, interpolated
-     * within buckets. The estimate starts with one assumed sample within the limit, so it is 1 before the first sample.
+     * Returns the share of responses, from 0 to 1, that take at most this multiple of the expected latency,
+     * interpolated within buckets. The estimate starts with one assumed sample within the limit, so it is 1 before the
+     * first sample.
      */
     public double shareWithin(double multiple) {
         double withinCount = 1;
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Restores the statistics that the predecessor saved. Does nothing if its classes differ from those of the settings in
-     * name or order, because the saved weights sum to one only over all of them.
+     * Restores the statistics that the predecessor saved. Does nothing if its classes differ from those of the settings
+     * in name or order, because the saved weights sum to one only over all of them.
      */
     public void restore(List<ClassSnapshot> snapshots) {
         List<String> names = snapshots.stream().map(ClassSnapshot::name).toList();
--- a/src/main/java/caperrudder/policy/scheduling/WeightController.java
+++ b/src/main/java/caperrudder/policy/scheduling/WeightController.java
@@ -4,10 +4,10 @@
 
 /**
  * Moves scheduling weight between traffic classes so that each meets its delay goal, by the donation algorithm of page
- * PAPER (DESIGN: Donation). At each interval the underweight class that misses its goal the most receives weight from the
- * overweight classes, in proportion to their surplus. Weight moves only if no slot of the concurrency limit was free at
- * some time since the last interval. The interval doubles after each donation, so that delays settle. Confined to the
- * policy's thread.
+ * PAPER (DESIGN: Donation). At each interval the underweight class that misses its goal the most receives weight from
+ * the overweight classes, in proportion to their surplus. Weight moves only if no slot of the concurrency limit was
+ * free at some time during the interval. The interval doubles after each donation, so that delays settle. Confined to
+ * the policy's thread.
  */
 public final class WeightController {
     private static final double APPLIED_DONATION_SHARE = 0.5; // of a computed donation; beta in page PAPER
