--- a/src/test/java/caperrudder/policy/scheduling/FairSchedulerTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/FairSchedulerTest.java
@@ -21,7 +21,8 @@
     private final ConcurrencyLimit limit = new ConcurrencyLimit(NOW, 1, classes);
     private final List<String> dispatched = new ArrayList<>();
     private final Set<String> withoutDestination = new HashSet<>();
-    private final FairScheduler<QueuedRequest, String> scheduler = new FairScheduler<>(classes, limit, new DispatchRecorder());
+    private final FairScheduler<QueuedRequest, String> scheduler =
+            new FairScheduler<>(classes, limit, new DispatchRecorder());
 
     private record QueuedRequest(String name, TrafficClass trafficClass) implements Schedulable {
         @Override
