--- a/src/main/java/caperrudder/api/AttemptResult.java
+++ b/src/main/java/caperrudder/api/AttemptResult.java
@@ -1,20 +1,21 @@
 package caperrudder.api;
 
 /**
- * How an attempt ended.
+ * The result of an attempt that has ended.
  *
- * @param requestId the request
- * @param attempt its number among the request's attempts, from 0
- * @param host the host's id
- * @param outcome how it ended
- * @param latencyMs how long it took
- * @param requestClosed whether the client has its answer, or is gone
- * @param quotaUsedPercent the customer's metered use in percent of its rate and plus 1; 0 where none was reported
- * @param trueUnits the units that the request really had; 0 where none were reported
- * @param loadReport the values of the host's load report, in the order of the settings; empty where none came. Not to
- *     be changed
+ * @param requestId id of the request
+ * @param attempt number of the attempt within the request, counted from 0
+ * @param host id of the host
+ * @param outcome how the attempt ended
+ * @param latencyMs duration of the attempt in milliseconds
+ * @param requestClosed whether the request has ended because the client has received a response or disconnected
+ * @param quotaUsedPercent 1 + the customer's metered use in percent of its quota, so that 1 means no use; 0 if the
+ *     response does not report it
+ * @param trueUnits the units that the request actually used; 0 if the response does not report them
+ * @param loadReport the host's load report, with its values in the order of {@link Settings#loadReportFields()}; empty
+ *     if there is none. Must not be modified
  */
-@SuppressWarnings("ArrayRecordComponent") // a result is read once and never compared
+@SuppressWarnings("ArrayRecordComponent") // results are never compared
 public record AttemptResult(
         String requestId,
         int attempt,
--- a/src/main/java/caperrudder/api/ClassSnapshot.java
+++ b/src/main/java/caperrudder/api/ClassSnapshot.java
@@ -1,15 +1,15 @@
 package caperrudder.api;
 
 /**
- * What has been learned of one class of requests.
+ * What a gateway has measured of one class of requests.
  *
- * @param name the class
- * @param weight its weight at the turns of the queues
- * @param latencyPerUnit the latency of one unit, in milliseconds
- * @param baseLatencyPerUnit that of a lightly loaded host, in milliseconds
- * @param samples how many responses the latencies rest on
- * @param delay the mean time in the queue, in milliseconds
- * @param slope the time in the queue that is lost for each unit of weight gained, in milliseconds; 0 where unknown
+ * @param name name of the class
+ * @param weight the class's share of the scheduler's turns, from 0 to 1
+ * @param latencyPerUnit average latency of an attempt per unit of its request, in milliseconds
+ * @param baseLatencyPerUnit the same on hosts without queues, in milliseconds
+ * @param samples number of successful attempts that the latencies are averaged over
+ * @param delay smoothed sum of a request's queue delay and attempt latency, in milliseconds
+ * @param slope decrease of the delay in milliseconds when the weight increases by 1; 0 if not yet known
  */
 public record ClassSnapshot(
         String name,
--- a/src/main/java/caperrudder/api/ClusterHealth.java
+++ b/src/main/java/caperrudder/api/ClusterHealth.java
@@ -1,9 +1,9 @@
 package caperrudder.api;
 
 /**
- * The hosts as a gateway sees them.
+ * The number of hosts that a gateway knows and how many of them it avoids.
  *
- * @param size how many its list holds
- * @param unhealthy how many of those it avoids now
+ * @param size number of listed hosts
+ * @param unhealthy number of listed hosts that the gateway avoids now, because of their state or of outlier detection
  */
 public record ClusterHealth(int size, int unhealthy) {}
--- a/src/main/java/caperrudder/api/DeduplicationScope.java
+++ b/src/main/java/caperrudder/api/DeduplicationScope.java
@@ -1,12 +1,12 @@
 package caperrudder.api;
 
-/** The hosts that share a memory of idempotency keys, and so drop repeats of one key. */
+/** The group of hosts that share their record of idempotency keys, and so execute a request with a given key once. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
     CELL;
 
-    /** True where both hosts drop repeats of the same keys. */
+    /** Returns whether the two hosts share their record of idempotency keys. */
     public boolean isSharedBy(Host a, Host b) {
         return this == ALL || (a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell()));
     }
--- a/src/main/java/caperrudder/api/HealthSnapshot.java
+++ b/src/main/java/caperrudder/api/HealthSnapshot.java
@@ -1,13 +1,13 @@
 package caperrudder.api;
 
 /**
- * The health of a host, for one class or, where the class is empty, for all.
+ * The health of a host as observed by a gateway, for one class of requests or for all.
  *
- * @param host the host's id
- * @param requestClass the name of the class, or empty
- * @param latencyPenalty how much slower than others the host has been
- * @param updatedAtMs when the penalty was last updated
- * @param failuresSinceSuccess failures in a row
+ * @param host id of the host
+ * @param requestClass name of the class; empty for all classes
+ * @param latencyPenalty the host's latency as a multiple of the usual one: 1 is as usual, more is slower
+ * @param updatedAtMs time of the last update of the penalty, in milliseconds since 1970
+ * @param failuresSinceSuccess number of consecutive failures
  */
 public record HealthSnapshot(
         String host, String requestClass, double latencyPenalty, double updatedAtMs, int failuresSinceSuccess) {}
--- a/src/main/java/caperrudder/api/HostListKind.java
+++ b/src/main/java/caperrudder/api/HostListKind.java
@@ -1,12 +1,16 @@
 package caperrudder.api;
 
-/**
- * How a list of hosts is to be read. {@code CHANGES}: these hosts have changed. {@code FULL}: these are all.
- * {@code CACHED}: these were all before a restart. {@code FAILED}: a call failed, there are none.
- */
+/** What a list of hosts contains. */
 public enum HostListKind {
+    /** The hosts that are new or have changed; all others are as before. */
     CHANGES,
+
+    /** All hosts; a known host that is missing is gone. */
     FULL,
+
+    /** All hosts as known before the gateway restarted, which may be outdated. */
     CACHED,
+
+    /** Nothing, because the call to discovery failed. */
     FAILED
 }
--- a/src/main/java/caperrudder/api/Idempotency.java
+++ b/src/main/java/caperrudder/api/Idempotency.java
@@ -1,11 +1,13 @@
 package caperrudder.api;
 
-/**
- * What a second attempt at a request may do. {@code IDEMPOTENT}: no harm. {@code IDEMPOTENCY_KEY}: no harm where hosts
- * of one {@link DeduplicationScope} get both. {@code NOT_IDEMPOTENT}: harm, unless the first attempt never ran.
- */
+/** Whether a request may be sent to a host again after an attempt that may have been executed. */
 public enum Idempotency {
+    /** The request may be sent again to any host. */
     IDEMPOTENT,
+
+    /** The request may be sent again within a time limit to a host of the same {@link DeduplicationScope}. */
     IDEMPOTENCY_KEY,
+
+    /** The request may be sent again only if no earlier attempt was executed. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/caperrudder/api/Limits.java
+++ b/src/main/java/caperrudder/api/Limits.java
@@ -1,16 +1,16 @@
 package caperrudder.api;
 
 /**
- * What the site permits (WIRE, {@code limits}).
+ * The actions that a site permits to its gateways, and their limits (WIRE, {@code limits}).
  *
- * @param maxAttempts the most attempts of one request
- * @param hedging whether a request may have two attempts at once
+ * @param maxAttempts maximum number of attempts of a request
+ * @param hedging whether a request may have two attempts at the same time
  * @param cancellation whether attempts may be cancelled
- * @param healthChecks whether hosts may be asked for their health
- * @param peerMessages whether gateways may send each other messages
- * @param retryAfter whether a rejected client may get a Retry-After
- * @param maxRetryAfterMs the longest such wait that clients follow
- * @param connectTimeoutMs how long a connection may take
+ * @param healthChecks whether gateways may send health checks to hosts
+ * @param peerMessages whether gateways may send messages to each other
+ * @param retryAfter whether a rejection may carry a Retry-After
+ * @param maxRetryAfterMs longest Retry-After that clients follow, in milliseconds
+ * @param connectTimeoutMs timeout of connecting to a host, in milliseconds
  */
 public record Limits(
         int maxAttempts,
--- a/src/main/java/caperrudder/api/Plan.java
+++ b/src/main/java/caperrudder/api/Plan.java
@@ -1,18 +1,20 @@
 package caperrudder.api;
 
 /**
- * A plan's quotas, for each customer over all gateways (WIRE, {@code plans}); 0 means that there is no such quota.
+ * The quotas that each customer of a plan has over all gateways (WIRE, {@code plans}). A quota of 0 means that the plan
+ * does not limit this.
  *
- * @param name as requests give it
- * @param unitsPerSecond the rate at which a customer's token bucket refills
- * @param burstUnits the tokens that the bucket holds at most, and at first
- * @param concurrencyLimit the attempts that a customer may have under way
- * @param valueFactor a factor on the value of each request
- * @param overQuotaValue the part of its value that a request over the quota earns
- * @param overQuotaCost the part of its value that a request over the quota costs
- * @param ceilingUnitsPerSecond the rate at which the second bucket, the ceiling, refills
- * @param ceilingBurstUnits the tokens that the ceiling holds at most, and at first
- * @param ceilingSlack the tokens by which the ceiling may go below 0
+ * @param name the name by which requests refer to the plan
+ * @param unitsPerSecond refill rate of the customer's token bucket, in units per second
+ * @param burstUnits capacity and initial level of the token bucket, in units
+ * @param concurrencyLimit maximum number of the customer's concurrent attempts
+ * @param valueFactor factor applied to the value of each request
+ * @param overQuotaValue share of its value that a request over the quota earns
+ * @param overQuotaCost share of its value that a request over the quota costs
+ * @param ceilingUnitsPerSecond refill rate of the ceiling, a second bucket that also limits requests over the quota, in
+ *     units per second
+ * @param ceilingBurstUnits capacity and initial level of the ceiling, in units
+ * @param ceilingSlack units by which the level of the ceiling may fall below 0
  */
 public record Plan(
         String name,
--- a/src/main/java/caperrudder/api/PolicyActions.java
+++ b/src/main/java/caperrudder/api/PolicyActions.java
@@ -1,34 +1,51 @@
 package caperrudder.api;
 
 /**
- * Everything that a gateway can do. Actions are carried out after the event that decided them, in their order; what
- * comes of them is reported by an event of its own. Times are in milliseconds.
+ * The actions that the policy can take. Actions are executed in the order of the calls, and their results are reported
+ * by later {@link PolicyEvents}, never during the call. Called only while the policy handles an event, on the thread of
+ * that event. All times are in milliseconds.
  */
 public interface PolicyActions {
-    /** Sends a request to a host; the attempts of a request are numbered from 0. No time limit where it is 0. */
+    /**
+     * Sends a request to a host. Each call starts the next attempt of the request; attempts are numbered from 0.
+     *
+     * @param id id of the request
+     * @param host id of the host
+     * @param timeoutMs time limit of the attempt; 0 for none
+     */
     void sendAttempt(String id, String host, double timeoutMs);
 
-    /** Cancels an attempt, which ends with {@link Outcome#CANCELLED}. */
+    /** Cancels an attempt, which then ends with {@link Outcome#CANCELLED}. */
     void cancelAttempt(String id, int attempt);
 
-    /** Answers that there is no capacity or quota; 0 where the client gets no Retry-After. */
+    /**
+     * Rejects a request because of missing capacity or quota.
+     *
+     * @param id id of the request
+     * @param retryAfterMs the Retry-After for the client; 0 for none
+     */
     void reject(String id, double retryAfterMs);
 
-    /** Answers that the request failed. */
+    /** Responds to the client that its request has failed. */
     void fail(String id);
 
-    /** Starts a timer. */
+    /** Starts a timer that fires once; the event carries the token. */
     void startTimer(double delayMs, String token);
 
-    /** Asks a host for its health. */
+    /** Sends a health check to a host. */
     void startHealthCheck(String host);
 
-    /** Sends a message to another gateway, by its number; it may get lost. */
+    /**
+     * Sends a message to another gateway. Messages may be lost.
+     *
+     * @param peer index of the gateway, from 0
+     * @param data the message, which must not be modified afterwards
+     */
     void sendToPeer(int peer, byte[] data);
 
-    /** Adds to a shared counter, which is forgotten after its lifetime. */
+    /** Adds an amount to a shared counter, which is removed after its lifetime. */
     void addToCounter(String counter, double amount, double lifetimeMs);
 
-    /** Asks for the list of hosts and all its changes. */
+    /** Subscribes to the list of hosts and its changes. */
     void subscribeToHosts();
 }
--- a/src/main/java/caperrudder/api/PolicyEvents.java
+++ b/src/main/java/caperrudder/api/PolicyEvents.java
@@ -3,52 +3,77 @@
 import java.util.List;
 
 /**
- * Everything that a gateway sees. {@code now} is the only clock, in milliseconds, and never goes back; calls come one
- * at a time from one thread. An event for a request, attempt or host that is not known any more changes nothing.
+ * The events that the policy handles. {@code now} is the time of the event in milliseconds; it never decreases, and the
+ * policy reads no other clock. All calls are made from one thread. An event for a request, attempt or host that is no
+ * longer known is ignored.
  */
 public interface PolicyEvents {
-    /** The gateway starts, before all other events. */
+    /** Starts the policy. Called once, before any other event. */
     void start(double now, Settings settings);
 
-    /** A list of hosts has come, or a call for it has failed. */
+    /**
+     * A list of hosts has arrived, or the call for it has failed.
+     *
+     * @param hosts the hosts that {@code kind} describes; empty if the call failed
+     */
     void hostsUpdated(double now, HostListKind kind, List<Host> hosts);
 
-    /** A request has come, or its head has. */
+    /** A request has arrived; its body may still be incomplete. */
     void requestReceived(double now, Request request);
 
-    /** The last byte of a request that was arriving has come; its client waits from now on. */
+    /**
+     * The last byte of a request has arrived, whose body was incomplete before. Its client waits from now on.
+     *
+     * @param deadlineMs when the client gives up
+     */
     void requestCompleted(double now, String id, double deadlineMs);
 
-    /** A part of a request that was arriving has left for a host and is kept nowhere: it can't be sent again. */
+    /**
+     * A part of an incomplete request has been forwarded to a host without being buffered, so the request can't be sent
+     * to another host any more.
+     */
     void requestNotReplayable(double now, String id);
 
-    /** The first bytes of a response go to the client: no other attempt may answer it any more. */
+    /** The first bytes of an attempt's response are sent to the client, so no other attempt can answer the request. */
     void responseStarted(double now, String id, int attempt);
 
-    /** An attempt has ended, be it by a response, an error or a cancellation. */
+    /** An attempt has ended with a response, an error or its cancellation. */
     void attemptEnded(double now, AttemptResult result);
 
-    /** The client has gone: its request needs no answer any more. */
+    /** The client has disconnected, so its request needs no response any more. */
     void clientDisconnected(double now, String id);
 
-    /** A timer of the policy has run out; {@code token} is the one that it was started with. */
+    /** A timer has fired; {@code token} is the one that it was started with. */
     void timerFired(double now, String token);
 
-    /** A health check has ended; {@code report} is its load report, which may be empty. */
+    /**
+     * A health check has ended.
+     *
+     * @param latencyMs duration of the health check
+     * @param report the host's load report, with its values in the order of {@link Settings#loadReportFields()}; empty
+     *     if there is none. Must not be modified
+     */
     default void healthCheckEnded(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
 
-    /** A message from another gateway has come; a malformed one changes nothing. */
+    /**
+     * A message from another gateway has arrived. A malformed message is ignored.
+     *
+     * @param peer index of the gateway, from 0
+     */
     void peerMessageReceived(double now, int peer, byte[] data);
 
-    /** A call to a shared counter has ended; {@code total} is its value after the call. */
+    /** A call to a shared counter has ended; {@code total} is the value of the counter after the call. */
     default void counterUpdated(double now, String counter, Outcome outcome, double total) {}
 
-    /** The snapshot of the process before this one has come; that process may still use the quotas that both share. */
+    /**
+     * Takes over the state of the predecessor. May be called again with a later snapshot, because the predecessor may
+     * still admit requests from the quotas that both processes share.
+     */
     void restoreSnapshot(double now, Snapshot snapshot);
 
-    /** Counts the hosts; neither this nor the next method acts or changes anything. */
+    /** Returns the number of known and of avoided hosts. Changes no state and takes no action. */
     ClusterHealth clusterHealth(double now);
 
-    /** What the next process is to know. */
+    /** Returns the state that a successor takes over. Changes no state and takes no action. */
     Snapshot takeSnapshot(double now);
 }
--- a/src/main/java/caperrudder/api/QuotaSnapshot.java
+++ b/src/main/java/caperrudder/api/QuotaSnapshot.java
@@ -1,21 +1,22 @@
 package caperrudder.api;
 
 /**
- * A customer's token buckets and meter.
+ * The state of a customer's token buckets and of its metered use.
  *
- * @param customer the customer's number
- * @param plan the name of its plan
- * @param firstReplica the first gateway of its replica set
- * @param replicaCount the gateways of its replica set, counted round from the first
- * @param sharedLevel the level of the bucket that this gateway keeps for the whole set, in units
- * @param localTokens the tokens of this gateway's own demand share
- * @param meteredLevel the level of the bucket under metered admission, in units
- * @param demandPerSecond the units that come to this gateway
- * @param usedUnits the units admitted here: a running total
- * @param usePerSecond the rate at which that total grows
- * @param meteredShare this gateway's part of the metered use
- * @param meteredAtMs when the meter last reported
- * @param meteredOthersPerSecond the metered use of the other gateways, in units
+ * @param customer number of the customer
+ * @param plan name of the customer's plan
+ * @param firstReplica index of the first gateway of the customer's replica set
+ * @param replicaCount number of gateways in the replica set: the first and those that follow it, wrapping around after
+ *     the last gateway
+ * @param sharedLevel level of the bucket that this gateway keeps for the whole replica set, in units
+ * @param localTokens level of the bucket of this gateway's own share, in units
+ * @param meteredLevel level of the bucket that is used with metered admission, in units
+ * @param demandPerSecond average units per second requested from this gateway
+ * @param usedUnits total units admitted by this gateway
+ * @param usePerSecond average units per second admitted by this gateway
+ * @param meteredShare this gateway's share of the metered use, from 0 to 1
+ * @param meteredAtMs time of the meter's last report in milliseconds since 1970; negative infinity if there was none
+ * @param meteredOthersPerSecond metered use of the other gateways, in units per second
  */
 public record QuotaSnapshot(
         long customer,
--- a/src/main/java/caperrudder/api/Request.java
+++ b/src/main/java/caperrudder/api/Request.java
@@ -1,19 +1,20 @@
 package caperrudder.api;
 
 /**
- * A request.
+ * A client's request. Times are in milliseconds of the clock of {@link PolicyEvents}.
  *
  * @param id unique among the gateway's open requests
  * @param deadlineMs when the client gives up
- * @param arrivedMs since when the client waits
- * @param clientRetry whether the client says that it has sent the request before
- * @param requestClass the name of its class
- * @param customer the customer's number
- * @param plan the name of the customer's plan
- * @param units its size
- * @param firstReplica the first gateway of the customer's replica set
- * @param replicaCount the gateways of that set, counted round from the first
- * @param bodyPending whether its end is still to come, and with it the time at which its client begins to wait
+ * @param arrivedMs when the client began to wait
+ * @param clientRetry whether the client marked the request as a retry
+ * @param requestClass name of the class
+ * @param customer number of the customer
+ * @param plan name of the customer's plan
+ * @param units size of the request in units of the quota
+ * @param firstReplica index of the first gateway of the customer's replica set
+ * @param replicaCount number of gateways in the replica set: the first and those that follow it, wrapping around after
+ *     the last gateway
+ * @param bodyPending whether the body is still incomplete; if so, the client begins to wait when the body is complete
  */
 public record Request(
         String id,
@@ -27,18 +28,29 @@
         int firstReplica,
         int replicaCount,
         boolean bodyPending) {
-    /** A request that has come whole. */
+    /** Creates a request whose body is complete. */
     public Request(
             String id,
             double deadlineMs,
             double arrivedMs,
-            boolean retry,
+            boolean clientRetry,
             String requestClass,
             long customer,
             String plan,
             double units,
-            int first,
-            int spread) {
-        this(id, deadlineMs, arrivedMs, retry, requestClass, customer, plan, units, first, spread, false);
+            int firstReplica,
+            int replicaCount) {
+        this(
+                id,
+                deadlineMs,
+                arrivedMs,
+                clientRetry,
+                requestClass,
+                customer,
+                plan,
+                units,
+                firstReplica,
+                replicaCount,
+                false);
     }
 }
--- a/src/main/java/caperrudder/api/RequestClass.java
+++ b/src/main/java/caperrudder/api/RequestClass.java
@@ -3,15 +3,16 @@
 /**
  * A class of requests (WIRE, {@code classes}).
  *
- * @param name as requests give it
- * @param idempotency what a second attempt may do
- * @param deduplicationScope with an idempotency key: the hosts that drop repeats of one key
- * @param deduplicationWindowMs with an idempotency key: how long hosts remember a key, from the first attempt that may
- *     have run
- * @param latencyObjectiveMs a response within this time earns all of a request's value
- * @param deadlineMs how long a client waits, over all attempts
- * @param priorityWeight what a request of one unit is worth, relative to other classes
- * @param lateValue the part of its value, from 0 to 1, that a response between objective and deadline earns
+ * @param name the name by which requests refer to the class
+ * @param idempotency whether a request may be sent again after an attempt that may have been executed
+ * @param deduplicationScope the hosts that share their record of idempotency keys; used only with
+ *     {@link Idempotency#IDEMPOTENCY_KEY}
+ * @param deduplicationWindowMs how long hosts remember an idempotency key after its first use, in milliseconds; used
+ *     only with {@link Idempotency#IDEMPOTENCY_KEY}
+ * @param latencyObjectiveMs response time in milliseconds up to which a response earns the full value of its request
+ * @param deadlineMs how long a client waits for the response, over all attempts, in milliseconds
+ * @param priorityWeight value of a request of one unit, relative to other classes
+ * @param lateValue share of its value, from 0 to 1, that a response between objective and deadline earns
  * @param streaming whether responses are streamed
  */
 public record RequestClass(
--- a/src/main/java/caperrudder/api/Rules.java
+++ b/src/main/java/caperrudder/api/Rules.java
@@ -1,15 +1,16 @@
 package caperrudder.api;
 
 /**
- * Times and multiples that hosts and clients are judged by (WIRE, {@code rules}).
+ * Rules of the site about hosts, clients and discovery (WIRE, {@code rules}). Times are in milliseconds.
  *
- * @param responseSlackMs how long after a client's deadline a final answer still counts
- * @param drainGraceMs how long a draining host may still be sent requests
- * @param overloadMultiple a host sent over this many times its present capacity
- * @param overloadWindowMs for this long fails while it warms up
- * @param coldStartCapacity the part of its capacity, from 0 to 1, that a host starts with at least
- * @param slowStartMs how long warming up takes at most
- * @param pollWithinMs without a subscription: how often the list of hosts is to be asked for; 0 where it comes unasked
+ * @param responseSlackMs how long after a client's deadline a response still counts
+ * @param drainGraceMs how long a draining host still accepts requests
+ * @param overloadMultiple load, as a multiple of its current capacity, above which a host in slow start fails
+ * @param overloadWindowMs how long that load must last before the host fails
+ * @param coldStartCapacity lower bound of the share of its capacity, from 0 to 1, that a host has right after its start
+ * @param slowStartMs maximum duration of slow start
+ * @param pollWithinMs maximum interval between requests for the list of hosts if the gateway polls discovery; 0 if
+ *     discovery sends the list unasked
  */
 public record Rules(
         double responseSlackMs,
--- a/src/main/java/caperrudder/api/Settings.java
+++ b/src/main/java/caperrudder/api/Settings.java
@@ -5,17 +5,18 @@
 /**
  * The settings of one gateway.
  *
- * @param seed of all that is drawn
- * @param gatewayIndex this gateway's number, from 0
- * @param gatewayCount how many gateways there are
- * @param zone this gateway's zone; empty where there are no zones
- * @param subscribesToHosts whether the list of hosts comes only to those who ask for it
+ * @param seed seed of the random number generator
+ * @param gatewayIndex index of this gateway, from 0
+ * @param gatewayCount number of gateways
+ * @param zone name of this gateway's zone; empty if there are no zones
+ * @param subscribesToHosts whether the gateway must subscribe to the list of hosts; if false, discovery sends it
+ *     unasked
  * @param classes the classes of requests
  * @param plans the customers' plans
- * @param loadReportFields the names of a load report's values, in their order
- * @param limits what the site permits
- * @param rules times and multiples of the hosts' and the clients' rules
- * @param sharing how gateways may learn of each other
+ * @param loadReportFields names of the values in a load report, in their order; empty if hosts send no load reports
+ * @param limits the actions that the site permits, and their limits
+ * @param rules rules of the site about hosts, clients and discovery
+ * @param sharing how gateways learn of each other's use, and the prices of their actions
  */
 public record Settings(
         long seed,
--- a/src/main/java/caperrudder/api/Sharing.java
+++ b/src/main/java/caperrudder/api/Sharing.java
@@ -1,17 +1,18 @@
 package caperrudder.api;
 
 /**
- * How gateways may learn of each other's use, and what that costs (WIRE, {@code specifics} and {@code costs}).
+ * How gateways can learn of each other's use, and the prices of their actions (WIRE, {@code specifics} and
+ * {@code costs}).
  *
- * @param counter whether there are shared counters
- * @param counterPrice the price of a call to a counter
- * @param meterPeriodMs the period over which a meter adds up a customer's use; 0 where there is no meter
- * @param postPaid whether a request's units are a guess and the true ones come with the response
- * @param maxUnits the most units of one request
- * @param peerMessagesPerSecond the messages that a gateway accepts
- * @param peerMessagePrice the price of a message of 256 bytes
- * @param healthCheckPrice the price of a health check
- * @param crossZonePrice the price of an attempt in another zone
+ * @param counter whether shared counters are available
+ * @param counterPrice price of a call to a shared counter
+ * @param meterPeriodMs period over which the meter sums a customer's use, in milliseconds; 0 if there is no meter
+ * @param postPaid whether the units of a request are an estimate, and the response reports the actual ones
+ * @param maxUnits maximum units of a request
+ * @param peerMessagesPerSecond messages per second that a gateway accepts from other gateways
+ * @param peerMessagePrice price of a message of 256 bytes to another gateway
+ * @param healthCheckPrice price of a health check
+ * @param crossZonePrice price of an attempt at a host in another zone
  */
 public record Sharing(
         boolean counter,
--- a/src/main/java/caperrudder/api/Snapshot.java
+++ b/src/main/java/caperrudder/api/Snapshot.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What a gateway's next process is to know of its customers, hosts and classes. Times are of the clock that both
- * processes share.
+ * The state of customers, hosts and classes that a gateway's process leaves to its successor. Times are in milliseconds
+ * since 1970.
  *
- * @param takenAtMs when it was taken
- * @param concurrencyPerHost the concurrency limit of each host
- * @param quotas by customer
- * @param health by host, or by host and class
- * @param classes by class
+ * @param takenAtMs when the snapshot was taken
+ * @param concurrencyPerHost concurrency limit per host, as the number of attempts from all gateways together
+ * @param quotas one entry per customer
+ * @param health one entry per host, and one per host and class of requests
+ * @param classes one entry per class of requests
  */
 public record Snapshot(
         double takenAtMs,
--- a/src/main/java/caperrudder/api/package-info.java
+++ b/src/main/java/caperrudder/api/package-info.java
@@ -1,9 +1,10 @@
 /**
- * What the policy is notified of and what it may do: settings, hosts, requests, results, events, actions and the
- * snapshot that one process leaves to the next.
+ * The interface between the policy and its environment. The environment calls {@link caperrudder.api.PolicyEvents}, and
+ * the policy calls {@link caperrudder.api.PolicyActions}. The records are what these calls carry: settings, hosts,
+ * requests, results and snapshots.
  *
- * <p>The package depends on nothing but the JDK's collections. Its records are immutable but for the arrays that
- * {@link caperrudder.api.AttemptResult} and the events carry, which nobody changes after the call. All times are in
- * milliseconds of the one clock that events bring along; all calls of one gateway come from one thread.
+ * <p>The package depends only on the collections of the JDK. Its records are immutable except for the arrays in
+ * {@link caperrudder.api.AttemptResult} and in the events, which must not be modified after the call. All times are in
+ * milliseconds of the clock that the events carry. All calls of a gateway are made from one thread.
  */
 package caperrudder.api;
