--- a/src/main/java/caperrudder/settings/FieldException.java
+++ b/src/main/java/caperrudder/settings/FieldException.java
@@ -1,16 +1,16 @@
 package caperrudder.settings;
 
-/** A named value that is missing or can't be read; the message names the field and says what is wrong with it. */
+/** Thrown for a field that is missing or has an invalid value. The message names the field and the problem. */
 public final class FieldException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String field;
 
     /**
-     * Reports a field.
+     * Creates an exception for a field.
      *
-     * @param field the name of the field at fault
-     * @param problem what is wrong, in one line
+     * @param field name of the invalid field
+     * @param problem one line that names the field and what is wrong with it
      */
     public FieldException(String field, String problem) {
         super(problem);
@@ -22,10 +22,10 @@
     }
 
     static FieldException malformed(String field, String expected, String value) {
-        return new FieldException(field, "bad " + expected + " in '" + field + "': '" + value + "'");
+        return new FieldException(field, "expected " + expected + " in '" + field + "', found '" + value + "'");
     }
 
-    /** The name of the field at fault, as in the settings or the message. */
+    /** Returns the name of the missing or invalid field. */
     public String field() {
         return field;
     }
--- a/src/main/java/caperrudder/settings/Fields.java
+++ b/src/main/java/caperrudder/settings/Fields.java
@@ -5,16 +5,17 @@
 import java.util.TreeMap;
 
 /**
- * Named text values, read by type. Each method without a default throws a {@link FieldException} where the field is
- * missing, and each method throws one where the value does not have the type that is asked for. Immutable.
+ * Text values by field name, with methods that parse them. A method without a default value throws a
+ * {@link FieldException} if the field is missing, unless its comment says otherwise. Each method throws one if it can't
+ * parse the value. Immutable.
  */
 public final class Fields {
-    private static final String NOTHING = "-";
-    private static final String SEPARATOR = ",";
+    private static final String EMPTY_VALUE = "-";
+    private static final String LIST_SEPARATOR = ",";
 
     private final Map<String, String> values;
 
-    /** Takes a copy of the values, by their names. */
+    /** Copies the values of a map from field name to value. */
     public Fields(Map<String, String> values) {
         this.values = new TreeMap<>(values);
     }
@@ -27,12 +28,12 @@
         return value;
     }
 
-    /** Whether the field is there, be its value empty or not. */
+    /** Returns whether the field is present. Its value may be empty. */
     public boolean has(String name) {
         return values.containsKey(name);
     }
 
-    /** A text that is not empty. */
+    /** Returns a value that must not be empty. */
     public String text(String name) {
         String value = required(name);
         if (value.isEmpty()) {
@@ -41,51 +42,54 @@
         return value;
     }
 
-    /** A text, which may be empty. */
+    /** Returns a value, which may be empty, or the default if the field is missing. */
     public String text(String name, String defaultValue) {
         return values.getOrDefault(name, defaultValue);
     }
 
-    /** A finite decimal number. */
+    /** Returns a finite decimal number. */
     public double number(String name) {
         String value = required(name);
-        double number = decimal(name, value, value);
+        double number = parseDecimal(name, value, value);
         if (!Double.isFinite(number)) {
-            throw FieldException.malformed(name, "number", value);
+            throw FieldException.malformed(name, "a finite number", value);
         }
         return number;
     }
 
-    /** A finite decimal number, or the default where the field is missing. */
+    /** Returns a finite decimal number, or the default if the field is missing. */
     public double number(String name, double defaultValue) {
         return has(name) ? number(name) : defaultValue;
     }
 
-    /** A whole number of 64 bits. */
+    /** Returns a signed 64-bit integer. */
     public long wholeNumber(String name) {
         String value = required(name);
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw FieldException.malformed(name, "whole number", value);
+            throw FieldException.malformed(name, "an integer", value);
         }
     }
 
-    /** A whole number of 32 bits. */
+    /** Returns a signed 32-bit integer. */
     public int integer(String name) {
         long value = wholeNumber(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw new FieldException(name, "number out of range in '" + name + "': '" + value + "'");
+            throw new FieldException(name, "expected a 32-bit integer in '" + name + "', found '" + value + "'");
         }
         return (int) value;
     }
 
-    /** A whole number of 32 bits, or the default where the field is missing. */
+    /** Returns a signed 32-bit integer, or the default if the field is missing. */
     public int integer(String name, int defaultValue) {
         return has(name) ? integer(name) : defaultValue;
     }
 
-    /** True for {@code 1} or {@code true}, false for {@code 0} or {@code false}. */
+    /**
+     * Returns true for {@code 1} or {@code true}, false for {@code 0} or {@code false}, and the default if the field is
+     * missing.
+     */
     public boolean flag(String name, boolean defaultValue) {
         String value = values.get(name);
         if (value == null) {
@@ -94,42 +98,42 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw FieldException.malformed(name, "truth value", value);
+            default -> throw FieldException.malformed(name, "1, true, 0 or false", value);
         };
     }
 
-    /** Decimal numbers set apart by commas; none where the field is missing, empty or a dash. */
+    /** Returns the decimal numbers of a comma-separated list; empty if the field is missing, empty or a dash. */
     public double[] numbers(String name) {
         String value = values.getOrDefault(name, "");
-        if (value.isEmpty() || value.equals(NOTHING)) {
+        if (value.isEmpty() || value.equals(EMPTY_VALUE)) {
             return new double[0];
         }
-        String[] parts = value.split(SEPARATOR, -1);
-        double[] numbers = new double[parts.length];
-        for (int i = 0; i < parts.length; i++) {
-            numbers[i] = decimal(name, parts[i], value);
+        String[] elements = value.split(LIST_SEPARATOR, -1);
+        double[] numbers = new double[elements.length];
+        for (int i = 0; i < elements.length; i++) {
+            numbers[i] = parseDecimal(name, elements[i], value);
         }
         return numbers;
     }
 
-    /** Bytes in hexadecimal digits; none where the value is a dash. */
+    /** Returns the bytes that pairs of hexadecimal digits represent; empty if the value is a dash. */
     public byte[] bytes(String name) {
         String value = text(name);
-        if (value.equals(NOTHING)) {
+        if (value.equals(EMPTY_VALUE)) {
             return new byte[0];
         }
         try {
             return HexFormat.of().parseHex(value);
         } catch (IllegalArgumentException e) {
-            throw FieldException.malformed(name, "bytes", value);
+            throw FieldException.malformed(name, "hexadecimal bytes", value);
         }
     }
 
-    private static double decimal(String name, String text, String value) {
+    private static double parseDecimal(String name, String text, String fieldValue) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw FieldException.malformed(name, "number", value);
+            throw FieldException.malformed(name, "a number", fieldValue);
         }
     }
 }
--- a/src/main/java/caperrudder/settings/SettingsReader.java
+++ b/src/main/java/caperrudder/settings/SettingsReader.java
@@ -12,18 +12,18 @@
 import java.util.List;
 
 /**
- * Reads the settings of one gateway by the names that WIRE gives. A missing field means that what it speaks of is not
- * there: a limit of 0, a feature that is off. Times are in milliseconds, rates by the second.
+ * Reads the settings of one gateway from the fields that WIRE defines. A missing optional field has the default that is
+ * given here, usually 0 or false, which turns the feature off. Times are in milliseconds, and rates are per second.
  */
 public final class SettingsReader {
-    private static final String SUBSCRIBE = "subscribe";
+    private static final String DISCOVERY_BY_SUBSCRIPTION = "subscribe";
 
     private SettingsReader() {}
 
     /**
-     * Reads all settings.
+     * Returns the settings that the fields describe.
      *
-     * @throws FieldException for the first field that is missing and has no default, or that can't be read
+     * @throws FieldException for the first field that is required and missing, or that has an invalid value
      */
     public static Settings read(Fields fields) {
         Limits limits = limits(fields);
@@ -34,7 +34,7 @@
                 fields.integer("ordinal"),
                 fields.integer("balancers"),
                 fields.text("az", ""),
-                fields.text("discovery", "automatic").equals(SUBSCRIBE),
+                fields.text("discovery", "automatic").equals(DISCOVERY_BY_SUBSCRIPTION),
                 classes(fields),
                 plans(fields),
                 loadReportFields(fields),
@@ -130,22 +130,22 @@
     }
 
     private static Idempotency idempotency(Fields fields, String name) {
-        String word = fields.text(name);
-        return switch (word) {
+        String value = fields.text(name);
+        return switch (value) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
             case "once" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new FieldException(name, "unknown effect '" + word + "'");
+            default -> throw FieldException.malformed(name, "repeatable, by_key or once", value);
         };
     }
 
     private static DeduplicationScope deduplicationScope(Fields fields, String name) {
-        String word = fields.text(name, "all");
-        return switch (word) {
+        String value = fields.text(name, "all");
+        return switch (value) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new FieldException(name, "unknown key scope '" + word + "'");
+            default -> throw FieldException.malformed(name, "all, zone or cell", value);
         };
     }
 }
--- a/src/main/java/caperrudder/settings/package-info.java
+++ b/src/main/java/caperrudder/settings/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The settings of one gateway, read from named text values into the typed records of {@code caperrudder.api}.
+ * Parses the settings of one gateway from text fields into the records of {@code caperrudder.api}.
  *
- * <p>The server reads them from its configuration file and the simulator's adapter from a message; both use the same
- * names, which WIRE gives. The package depends on {@code caperrudder.api} alone, opens no files or sockets and keeps no
- * state: each {@link caperrudder.settings.Fields} belongs to the thread that made it.
+ * <p>The server takes the fields from its configuration file, and the simulator's adapter takes them from a message.
+ * Both use the field names that WIRE defines. The package depends only on {@code caperrudder.api}, opens no files or
+ * sockets and has no mutable state.
  */
 package caperrudder.settings;
