--- a/src/main/java/caperrudder/simulator/ActionWriter.java
+++ b/src/main/java/caperrudder/simulator/ActionWriter.java
@@ -3,9 +3,9 @@
 import caperrudder.api.PolicyActions;
 import java.util.HexFormat;
 
-/** Writes the actions of one instance as lines of the current reply. */
+/** Writes the actions of one policy instance as lines of the current reply. */
 final class ActionWriter implements PolicyActions {
-    private static final int THOUSANDTHS = 1000;
+    private static final int DECIMAL_SCALE = 1000; // for three decimals
 
     private final BatchReply reply;
     private final long instance;
@@ -21,7 +21,7 @@
                 .field(SimulatorProtocol.OPERATION_ID, id)
                 .field(SimulatorProtocol.HOST_ID, host);
         if (timeoutMs > 0) {
-            line.field("limit_ms", decimal(timeoutMs));
+            line.field("limit_ms", formatDecimal(timeoutMs));
         }
         line.endLine();
     }
@@ -38,7 +38,7 @@
     public void reject(String id, double retryAfterMs) {
         BatchReply line = line(SimulatorProtocol.OVERLOAD_REPLY).field(SimulatorProtocol.OPERATION_ID, id);
         if (retryAfterMs > 0) {
-            line.field("wait_ms", decimal(retryAfterMs));
+            line.field("wait_ms", formatDecimal(retryAfterMs));
         }
         line.endLine();
     }
@@ -51,7 +51,7 @@
     @Override
     public void startTimer(double delayMs, String token) {
         line(SimulatorProtocol.TIMER)
-                .field("in_ms", decimal(delayMs))
+                .field("in_ms", formatDecimal(delayMs))
                 .field(SimulatorProtocol.COOKIE, token)
                 .endLine();
     }
@@ -67,7 +67,7 @@
     public void sendToPeer(int peer, byte[] data) {
         line(SimulatorProtocol.NOTIFY)
                 .field("dest", peer)
-                .field(SimulatorProtocol.CONTENTS, hexadecimal(data))
+                .field(SimulatorProtocol.CONTENTS, formatHex(data))
                 .endLine();
     }
 
@@ -75,8 +75,8 @@
     public void addToCounter(String counter, double amount, double lifetimeMs) {
         line(SimulatorProtocol.ADD_AND_GET)
                 .field(SimulatorProtocol.COUNTER, counter)
-                .field("by", decimal(amount))
-                .field("lifetime_ms", decimal(lifetimeMs))
+                .field("by", formatDecimal(amount))
+                .field("lifetime_ms", formatDecimal(lifetimeMs))
                 .endLine();
     }
 
@@ -89,16 +89,17 @@
         return reply.action(instance, name);
     }
 
-    private static String hexadecimal(byte[] data) {
+    private static String formatHex(byte[] data) {
         return data.length == 0 ? SimulatorProtocol.NO_BYTES : HexFormat.of().formatHex(data);
     }
 
-    /** Three decimals, since the simulator counts microseconds, and never an exponent. */
-    private static String decimal(double value) {
-        long thousandths = Math.round(value * THOUSANDTHS);
-        String sign = thousandths < 0 ? "-" : "";
-        long magnitude = Math.abs(thousandths);
-        String fraction = String.valueOf(THOUSANDTHS + magnitude % THOUSANDTHS).substring(1);
-        return sign + magnitude / THOUSANDTHS + '.' + fraction;
+    /** Formats a number with three decimals, because the simulator counts microseconds, and without an exponent. */
+    private static String formatDecimal(double value) {
+        long scaled = Math.round(value * DECIMAL_SCALE);
+        String sign = scaled < 0 ? "-" : "";
+        long magnitude = Math.abs(scaled);
+        String fraction =
+                String.valueOf(DECIMAL_SCALE + magnitude % DECIMAL_SCALE).substring(1);
+        return sign + magnitude / DECIMAL_SCALE + '.' + fraction;
     }
 }
--- a/src/main/java/caperrudder/simulator/BatchReply.java
+++ b/src/main/java/caperrudder/simulator/BatchReply.java
@@ -1,19 +1,22 @@
 package caperrudder.simulator;
 
-/** The reply to one batch: lines of actions, each under the instance that it is of. Used again for each batch. */
+/**
+ * Builds the reply to a batch, with one action per line. An {@code AT} line names the instance of the actions after it.
+ * Reused for every batch. Not thread-safe.
+ */
 final class BatchReply {
     private static final long NO_INSTANCE = Long.MIN_VALUE;
 
     private final StringBuilder text = new StringBuilder();
     private long currentInstance = NO_INSTANCE;
 
-    /** Forgets the former batch. */
+    /** Starts an empty reply. */
     void begin() {
         text.setLength(0);
         currentInstance = NO_INSTANCE;
     }
 
-    /** Begins a line of this instance, after the line that names it where the last one was another's. */
+    /** Starts the line of an action, preceded by an {@code AT} line if the last action was of another instance. */
     BatchReply action(long instance, String name) {
         if (currentInstance != instance) {
             text.append(SimulatorProtocol.AT);
@@ -24,6 +27,7 @@
         return this;
     }
 
+    /** Appends a field to the current line. */
     BatchReply field(String name, String value) {
         text.append(SimulatorProtocol.FIELD_SEPARATOR)
                 .append(name)
@@ -32,6 +36,7 @@
         return this;
     }
 
+    /** Appends a field to the current line. */
     BatchReply field(String name, long value) {
         text.append(SimulatorProtocol.FIELD_SEPARATOR)
                 .append(name)
@@ -44,7 +49,7 @@
         text.append('\n');
     }
 
-    /** Ends the reply and gives all of it; valid until the next batch begins. */
+    /** Ends the reply and returns it. The result is valid until the next call of {@link #begin()}. */
     CharSequence end(long turn) {
         text.append(SimulatorProtocol.YIELD);
         field(SimulatorProtocol.TURN, turn).endLine();
--- a/src/main/java/caperrudder/simulator/EventTranslator.java
+++ b/src/main/java/caperrudder/simulator/EventTranslator.java
@@ -10,7 +10,7 @@
 import caperrudder.settings.Fields;
 import java.util.List;
 
-/** Translates messages of the simulator into events of a policy. */
+/** Translates messages of the simulator into calls of {@link PolicyEvents}. */
 final class EventTranslator {
     private final HostCatalog catalog;
 
@@ -19,11 +19,12 @@
     }
 
     /**
-     * Hands the event of a message to a policy.
+     * Delivers a message to a policy.
      *
-     * @param nowMs the batch's clock
-     * @return false where no event has such a name
-     * @throws FieldException where a field is missing or can't be read
+     * @param nowMs the time of the batch, in milliseconds
+     * @param name the name of the message
+     * @return false if the message is unknown
+     * @throws FieldException if a field is missing or has an invalid value
      */
     boolean deliver(PolicyEvents policy, double nowMs, String name, Fields fields) {
         switch (name) {
@@ -87,13 +88,13 @@
     }
 
     private static HostListKind hostListKind(Fields fields) {
-        String how = fields.text("how");
-        return switch (how) {
+        String kind = fields.text("how");
+        return switch (kind) {
             case "D" -> HostListKind.CHANGES;
             case "F" -> HostListKind.FULL;
             case "C" -> HostListKind.CACHED;
             case "X" -> HostListKind.FAILED;
-            default -> throw new FieldException("how", "unknown list kind '" + how + "'");
+            default -> throw new FieldException("how", "unknown list kind '" + kind + "'");
         };
     }
 
--- a/src/main/java/caperrudder/simulator/HostCatalog.java
+++ b/src/main/java/caperrudder/simulator/HostCatalog.java
@@ -10,15 +10,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** The pages of hosts that the simulator has sent, for all instances; a later page takes the place of an earlier one. */
+/**
+ * Holds the pages of hosts that the simulator has sent, by page number. All instances share the pages. A page replaces
+ * an earlier one of the same number.
+ */
 final class HostCatalog {
     private final Map<Integer, List<Host>> pages = new HashMap<>();
 
-    /** Reads the page whose head is the reader's current line, up to its last host. */
+    /** Reads a page from the reader, whose current line must be its {@code CATALOG} line, up to its last host. */
     void readPage(MessageReader reader) throws IOException {
-        Fields head = reader.fields();
-        int page = head.integer(SimulatorProtocol.PAGE);
-        int size = head.integer("members");
+        Fields header = reader.fields();
+        int page = header.integer(SimulatorProtocol.PAGE);
+        int size = header.integer("members");
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             if (!reader.next() || !reader.name().equals(SimulatorProtocol.HOST)) {
@@ -30,9 +33,9 @@
     }
 
     /**
-     * The hosts of a page.
+     * Returns the hosts of a page.
      *
-     * @throws FieldException where no such page has come
+     * @throws FieldException if the page has not been sent
      */
     List<Host> page(int page) {
         List<Host> hosts = pages.get(page);
--- a/src/main/java/caperrudder/simulator/MessageReader.java
+++ b/src/main/java/caperrudder/simulator/MessageReader.java
@@ -6,49 +6,50 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads messages, one a line, and knows the number of the current line. Not thread-safe. */
+/** Reads messages, one per line, and counts the lines. Not thread-safe. */
 final class MessageReader {
-    private final BufferedReader in;
+    private final BufferedReader input;
     private long lineNumber;
     private String line = "";
 
-    MessageReader(BufferedReader in) {
-        this.in = in;
+    MessageReader(BufferedReader input) {
+        this.input = input;
     }
 
-    /** Goes on to the next line; false where the input has ended, which counts as a line. */
+    /** Advances to the next line and returns whether there is one. The end of the input is counted as a line. */
     boolean next() throws IOException {
-        line = in.readLine();
+        line = input.readLine();
         lineNumber++;
         return line != null;
     }
 
-    /** The number of the current line, counted from 1. */
+    /** Returns the number of the current line, counted from 1. */
     long lineNumber() {
         return lineNumber;
     }
 
+    /** Returns whether the current line is empty. */
     boolean isBlank() {
         return line.isEmpty();
     }
 
-    /** The name of the current line's message. */
+    /** Returns the name of the message on the current line. */
     String name() {
-        int space = line.indexOf(SimulatorProtocol.FIELD_SEPARATOR);
-        return space < 0 ? line : line.substring(0, space);
+        int fieldSeparator = line.indexOf(SimulatorProtocol.FIELD_SEPARATOR);
+        return fieldSeparator < 0 ? line : line.substring(0, fieldSeparator);
     }
 
     /**
-     * The fields of the current line's message.
+     * Returns the fields of the message on the current line.
      *
-     * @throws WireFormatException where a field has no name or no value
+     * @throws WireFormatException if a field has no name or no value
      */
     Fields fields() {
-        int space = line.indexOf(SimulatorProtocol.FIELD_SEPARATOR);
-        return new Fields(space < 0 ? Map.of() : parse(line.substring(space + 1)));
+        int fieldSeparator = line.indexOf(SimulatorProtocol.FIELD_SEPARATOR);
+        return new Fields(fieldSeparator < 0 ? Map.of() : parse(line.substring(fieldSeparator + 1)));
     }
 
-    /** What is wrong with the current line, to be thrown. */
+    /** Creates an exception for the current line. */
     WireFormatException error(String problem) {
         return new WireFormatException(lineNumber, problem);
     }
@@ -57,13 +58,13 @@
         Map<String, String> values = new HashMap<>();
         int start = 0;
         while (start < text.length()) {
-            int space = text.indexOf(SimulatorProtocol.FIELD_SEPARATOR, start);
-            int end = space < 0 ? text.length() : space;
-            int equals = text.indexOf(SimulatorProtocol.VALUE_SEPARATOR, start);
-            if (equals <= start || equals >= end) {
+            int fieldSeparator = text.indexOf(SimulatorProtocol.FIELD_SEPARATOR, start);
+            int end = fieldSeparator < 0 ? text.length() : fieldSeparator;
+            int valueSeparator = text.indexOf(SimulatorProtocol.VALUE_SEPARATOR, start);
+            if (valueSeparator <= start || valueSeparator >= end) {
                 throw error("not a name=value pair: '" + text.substring(start, end) + "'");
             }
-            values.put(text.substring(start, equals), text.substring(equals + 1, end));
+            values.put(text.substring(start, valueSeparator), text.substring(valueSeparator + 1, end));
             start = end + 1;
         }
         return values;
--- a/src/main/java/caperrudder/simulator/SimulatorAdapter.java
+++ b/src/main/java/caperrudder/simulator/SimulatorAdapter.java
@@ -11,34 +11,35 @@
 import java.util.Map;
 
 /**
- * Runs any number of policy instances on the simulator's wire: reads a batch, hands each message to the instance that
- * it is for and answers with the actions of all. Not thread-safe; one thread reads, decides and writes.
+ * Runs any number of policy instances for the simulator. It reads a batch of messages, delivers each message to its
+ * instance and replies with the actions of all instances. Not thread-safe: one thread reads, runs all policies and
+ * writes.
  */
 final class SimulatorAdapter {
     private static final long NO_INSTANCE = Long.MIN_VALUE;
 
     private final MessageReader reader;
-    private final Writer out;
+    private final Writer output;
     private final BatchReply reply = new BatchReply();
     private final HostCatalog catalog = new HostCatalog();
-    private final EventTranslator events = new EventTranslator(catalog);
+    private final EventTranslator translator = new EventTranslator(catalog);
     private final Map<Long, TrafficPolicy> policies = new HashMap<>();
 
-    SimulatorAdapter(BufferedReader in, Writer out) {
-        this.reader = new MessageReader(in);
-        this.out = out;
+    SimulatorAdapter(BufferedReader input, Writer output) {
+        this.reader = new MessageReader(input);
+        this.output = output;
     }
 
     /**
-     * Answers batches until the input ends.
+     * Replies to batches until the input ends.
      *
-     * @throws WireFormatException for the first line that can't be read
+     * @throws WireFormatException for the first malformed line
      */
     void run() throws IOException {
         try {
             while (reader.next()) {
                 if (!reader.isBlank()) {
-                    answerBatch();
+                    processBatch();
                 }
             }
         } catch (FieldException e) {
@@ -46,20 +47,20 @@
         }
     }
 
-    private void answerBatch() throws IOException {
+    private void processBatch() throws IOException {
         if (!reader.name().equals(SimulatorProtocol.BEGIN_BATCH)) {
             throw reader.error("expected BEGIN_BATCH, found '" + reader.name() + "'");
         }
-        Fields head = reader.fields();
-        double nowMs = head.number("moment_ms");
-        long turn = head.wholeNumber(SimulatorProtocol.TURN);
+        Fields header = reader.fields();
+        double nowMs = header.number("moment_ms");
+        long turn = header.wholeNumber(SimulatorProtocol.TURN);
         reply.begin();
-        readMessages(nowMs);
-        out.append(reply.end(turn));
-        out.flush();
+        processMessages(nowMs);
+        output.append(reply.end(turn));
+        output.flush();
     }
 
-    private void readMessages(double nowMs) throws IOException {
+    private void processMessages(double nowMs) throws IOException {
         long instance = NO_INSTANCE;
         while (true) {
             if (!reader.next()) {
@@ -73,12 +74,12 @@
                 case SimulatorProtocol.TARGET_INSTANCE -> instance =
                         reader.fields().wholeNumber(SimulatorProtocol.GATEWAY_ID);
                 case SimulatorProtocol.CATALOG -> catalog.readPage(reader);
-                default -> handle(nowMs, instance, name);
+                default -> processMessage(nowMs, instance, name);
             }
         }
     }
 
-    private void handle(double nowMs, long instance, String name) {
+    private void processMessage(double nowMs, long instance, String name) {
         if (instance == NO_INSTANCE) {
             throw reader.error("'" + name + "' before any TARGET_INSTANCE");
         }
@@ -101,7 +102,7 @@
         if (policy == null) {
             throw reader.error("'" + name + "' for an instance that was not started: " + instance);
         }
-        if (!events.deliver(policy, nowMs, name, fields)) {
+        if (!translator.deliver(policy, nowMs, name, fields)) {
             throw reader.error("unknown message '" + name + "'");
         }
     }
--- a/src/main/java/caperrudder/simulator/SimulatorProtocol.java
+++ b/src/main/java/caperrudder/simulator/SimulatorProtocol.java
@@ -1,28 +1,28 @@
 package caperrudder.simulator;
 
-/** The words of the simulator's wire, as WIRE gives them: messages, their fields and the marks between these. */
+/** Message names, field names and separators of the simulator's protocol, as WIRE defines them. */
 final class SimulatorProtocol {
-    /** Parts a message's name from its fields, and the fields from each other. */
+    /** Separates the name of a message from its fields, and the fields from each other. */
     static final char FIELD_SEPARATOR = ' ';
 
-    /** Parts a field's name from its value. */
+    /** Separates the name of a field from its value. */
     static final char VALUE_SEPARATOR = '=';
 
-    /** Stands for bytes that are none. */
+    /** The value that represents an empty array of bytes. */
     static final String NO_BYTES = "-";
 
-    // Messages that frame a batch and its reply
+    // Begin, instance and end of a batch, and instance and end of its reply
     static final String BEGIN_BATCH = "BEGIN_BATCH";
     static final String TARGET_INSTANCE = "TARGET_INSTANCE";
     static final String COMMIT = "COMMIT";
     static final String AT = "AT";
     static final String YIELD = "YIELD";
 
-    // Hosts, in pages that MEMBERSHIP refers to
+    // Pages of hosts, to which MEMBERSHIP refers
     static final String CATALOG = "CATALOG";
     static final String HOST = "HOST";
 
-    // Events of an instance
+    // Events for an instance
     static final String ATTACH = "ATTACH";
     static final String KILL = "KILL";
     static final String MEMBERSHIP = "MEMBERSHIP";
@@ -46,7 +46,7 @@
     static final String ADD_AND_GET = "ADD_AND_GET";
     static final String KEEP_INFORMED = "KEEP_INFORMED";
 
-    // Fields of more than one message
+    // Fields that occur in several messages
     static final String GATEWAY_ID = "gateway_id";
     static final String TURN = "turn";
     static final String PAGE = "page";
--- a/src/main/java/caperrudder/simulator/WireFormatException.java
+++ b/src/main/java/caperrudder/simulator/WireFormatException.java
@@ -1,6 +1,6 @@
 package caperrudder.simulator;
 
-/** Input that does not follow the simulator's wire; the message names the line and says what is wrong with it. */
+/** Thrown for input that violates the simulator's protocol. The message contains the line number and the problem. */
 final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -16,7 +16,7 @@
         this.lineNumber = lineNumber;
     }
 
-    /** The number of the line at fault, counted from 1; one past the last line where the input ended too early. */
+    /** Returns the number of the malformed line, from 1; one past the last line if the input ended too early. */
     long lineNumber() {
         return lineNumber;
     }
