--- a/src/main/java/caperrudder/package-info.java
+++ b/src/main/java/caperrudder/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line. {@link caperrudder.Main} picks the command; each command loads the classes of its own packages
- * alone. Nothing depends on this package.
+ * The entry point of the program. {@link caperrudder.Main} selects the command, and each command loads only the classes
+ * that it needs. No other package depends on this one.
  */
 package caperrudder;
--- a/src/test/java/caperrudder/architecture/ArchitectureTest.java
+++ b/src/test/java/caperrudder/architecture/ArchitectureTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Holds the rules of docs/ARCHITECTURE.md: which package may use which, and what the decision logic may not touch. */
+/** Checks the rules of docs/ARCHITECTURE.md on package dependencies and on what the decision logic may use. */
 class ArchitectureTest {
     private static final String ROOT = "caperrudder";
 
-    /** All packages below the root, lowest first: each may use those before it. */
+    /** The packages below the root from the lowest layer to the highest. A package may depend on those before it. */
     private static final List<String> LAYERS = List.of(
             "api",
             "settings",
@@ -47,34 +47,34 @@
             "simulator",
             "scale");
 
-    private static final String[] DECISION_LOGIC = {
+    private static final String[] DECISION_LOGIC_PACKAGES = {
         "caperrudder.api..", "caperrudder.settings..", "caperrudder.policy.."
     };
 
     private static JavaClasses program;
 
     @BeforeAll
-    static void readTheProgram() {
+    static void importProgram() {
         program = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages(ROOT);
     }
 
     @Test
-    void everyPackageHasItsLayer() {
+    void everyPackageHasALayer() {
         classes().should(beInALayer()).check(program);
     }
 
     @Test
-    void packagesUseOnlyThoseBelowThem() {
-        classes().should(useOnlyLowerLayers()).check(program);
+    void packagesDependOnlyOnLowerLayers() {
+        classes().should(dependOnlyOnLowerLayers()).check(program);
     }
 
     @Test
-    void decisionsUseNoSocketsFilesOrThreads() {
+    void decisionLogicUsesNoSocketsFilesOrThreads() {
         ArchRule rule = noClasses()
                 .that()
-                .resideInAnyPackage(DECISION_LOGIC)
+                .resideInAnyPackage(DECISION_LOGIC_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -91,10 +91,10 @@
     }
 
     @Test
-    void decisionsTakeTimeFromTheirEventsAlone() {
+    void decisionLogicReadsNoClock() {
         ArchRule rule = noClasses()
                 .that()
-                .resideInAnyPackage(DECISION_LOGIC)
+                .resideInAnyPackage(DECISION_LOGIC_PACKAGES)
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
@@ -109,10 +109,10 @@
     }
 
     @Test
-    void decisionsDrawFromTheSeedAlone() {
+    void decisionLogicUsesOnlySeededRandomNumbers() {
         ArchRule rule = noClasses()
                 .that()
-                .resideInAnyPackage(DECISION_LOGIC)
+                .resideInAnyPackage(DECISION_LOGIC_PACKAGES)
                 .should()
                 .callConstructor(Random.class)
                 .orShould()
@@ -123,14 +123,14 @@
     }
 
     @Test
-    void fieldsThatOthersSeeDoNotChange() {
+    void nonPrivateFieldsAreFinal() {
         ArchRule rule = fields().that().areNotPrivate().should().beFinal();
         rule.check(program);
     }
 
-    /** That class is compiled apart, without javac's warnings: the build has it by its name. */
+    /** {@code HangupSignal} is compiled separately, without javac's warnings; {@code pom.xml} names its file. */
     @Test
-    void oneClassAloneUsesWhatTheJdkDoesNotPromise() {
+    void onlyHangupSignalUsesInternalJdkClasses() {
         ArchRule rule = noClasses()
                 .that()
                 .doNotHaveFullyQualifiedName("caperrudder.server.runtime.HangupSignal")
@@ -152,19 +152,24 @@
         };
     }
 
-    private static ArchCondition<JavaClass> useOnlyLowerLayers() {
-        return new ArchCondition<>("use only their own package and those below it") {
+    private static ArchCondition<JavaClass> dependOnlyOnLowerLayers() {
+        return new ArchCondition<>("depend only on their own package and on lower layers") {
             @Override
             public void check(JavaClass origin, ConditionEvents events) {
                 int layer = layerOf(origin);
                 origin.getDirectDependenciesFromSelf().stream()
-                        .filter(use -> layerOf(use.getTargetClass().getBaseComponentType()) > layer)
-                        .forEach(use -> events.add(SimpleConditionEvent.violated(origin, use.getDescription())));
+                        .filter(dependency ->
+                                layerOf(dependency.getTargetClass().getBaseComponentType()) > layer)
+                        .forEach(dependency ->
+                                events.add(SimpleConditionEvent.violated(origin, dependency.getDescription())));
             }
         };
     }
 
-    /** The place of a class's package in {@link #LAYERS}, that of the root above all; -1 for all that is not ours. */
+    /**
+     * Returns the index of a class's package in {@link #LAYERS}, or the size of the list for the root package, which is
+     * the highest layer. Returns -1 for a package that has no layer and for the classes of libraries.
+     */
     private static int layerOf(JavaClass type) {
         String packageName = type.getPackageName();
         if (packageName.equals(ROOT)) {
