--- a/src/main/java/caperrudder/scale/FleetSettings.java
+++ b/src/main/java/caperrudder/scale/FleetSettings.java
@@ -1,7 +1,7 @@
 package caperrudder.scale;
 
 import caperrudder.api.Settings;
-import caperrudder.settings.Fields;
+import caperrudder.settings.FieldValues;
 import caperrudder.settings.SettingsReader;
 import java.util.List;
 import java.util.Map;
@@ -41,7 +41,7 @@
     static Settings of(int gateway, int fleet, String zone, UsageSharing sharing, long seed) {
         Map<String, String> pairs = pairs(gateway, fleet, zone, sharing);
         pairs.put("rng_seed", Long.toString(seed));
-        return SettingsReader.read(new Fields(pairs));
+        return SettingsReader.read(new FieldValues(pairs));
     }
 
     /** The class of a request, by turns. */
--- a/src/main/java/caperrudder/server/config/GatewayConfigReader.java
+++ b/src/main/java/caperrudder/server/config/GatewayConfigReader.java
@@ -4,7 +4,7 @@
 import caperrudder.server.config.GatewayConfig.KnownEndpointsReader;
 import caperrudder.server.runtime.SocketAddresses;
 import caperrudder.settings.FieldException;
-import caperrudder.settings.Fields;
+import caperrudder.settings.FieldValues;
 import caperrudder.settings.SettingsReader;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -63,7 +63,7 @@
         if (!root.isObject()) {
             throw new IllegalArgumentException("not a JSON object");
         }
-        Fields fields = fields(root);
+        FieldValues fields = fields(root);
         Settings settings = SettingsReader.read(fields);
         return new GatewayConfig(
                 SocketAddresses.parse(text(root, "listen")),
@@ -75,11 +75,11 @@
     }
 
     /** The settings under the flat names that the simulator's wire gives them. */
-    private static Fields fields(JsonNode root) {
+    private static FieldValues fields(JsonNode root) {
         Map<String, String> pairs = new TreeMap<>();
         flatten("", root.path("settings"), pairs);
         pairs.put("rng_seed", Long.toString(Long.parseUnsignedLong(text(root, "seed"), HEX)));
-        return new Fields(pairs);
+        return new FieldValues(pairs);
     }
 
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
@@ -111,14 +111,14 @@
                 optionalAddress(root, "peers_all"));
     }
 
-    private static ResourceLimits limits(JsonNode root, Fields fields) {
+    private static ResourceLimits limits(JsonNode root, FieldValues fields) {
         JsonNode limits = root.path("limits");
         return new ResourceLimits(
                 limits.path("sockets").asInt(DEFAULT_SOCKETS),
                 limits.path("memory_mb").asInt(DEFAULT_MEMORY_MB),
-                fields.number("limits.connect_timeout_ms", DEFAULT_CONNECT_MS),
-                fields.number("limits.conn_idle_ms", DEFAULT_IDLE_MS),
-                (int) fields.number("limits.max_open", DEFAULT_MAX_OPEN));
+                fields.getDouble("limits.connect_timeout_ms", DEFAULT_CONNECT_MS),
+                fields.getDouble("limits.conn_idle_ms", DEFAULT_IDLE_MS),
+                (int) fields.getDouble("limits.max_open", DEFAULT_MAX_OPEN));
     }
 
     private static Optional<InetSocketAddress> optionalAddress(JsonNode root, String name) {
--- a/src/main/java/caperrudder/settings/Fields.java
+++ b/src/main/java/caperrudder/settings/FieldValues.java
@@ -9,14 +9,14 @@
  * {@link FieldException} if the field is missing, unless its comment says otherwise. Each method throws one if it can't
  * parse the value. Immutable.
  */
-public final class Fields {
+public final class FieldValues {
     private static final String EMPTY_VALUE = "-";
     private static final String LIST_SEPARATOR = ",";
 
     private final Map<String, String> values;
 
     /** Copies the values of a map from field name to value. */
-    public Fields(Map<String, String> values) {
+    public FieldValues(Map<String, String> values) {
         this.values = new TreeMap<>(values);
     }
 
@@ -34,7 +34,7 @@
     }
 
     /** Returns a value that must not be empty. */
-    public String text(String name) {
+    public String getString(String name) {
         String value = required(name);
         if (value.isEmpty()) {
             throw new FieldException(name, "empty field '" + name + "'");
@@ -43,12 +43,12 @@
     }
 
     /** Returns a value, which may be empty, or the default if the field is missing. */
-    public String text(String name, String defaultValue) {
+    public String getString(String name, String defaultValue) {
         return values.getOrDefault(name, defaultValue);
     }
 
     /** Returns a finite decimal number. */
-    public double number(String name) {
+    public double getDouble(String name) {
         String value = required(name);
         double number = parseDecimal(name, value, value);
         if (!Double.isFinite(number)) {
@@ -58,12 +58,12 @@
     }
 
     /** Returns a finite decimal number, or the default if the field is missing. */
-    public double number(String name, double defaultValue) {
-        return has(name) ? number(name) : defaultValue;
+    public double getDouble(String name, double defaultValue) {
+        return has(name) ? getDouble(name) : defaultValue;
     }
 
     /** Returns a signed 64-bit integer. */
-    public long wholeNumber(String name) {
+    public long getLong(String name) {
         String value = required(name);
         try {
             return Long.parseLong(value);
@@ -73,8 +73,8 @@
     }
 
     /** Returns a signed 32-bit integer. */
-    public int integer(String name) {
-        long value = wholeNumber(name);
+    public int getInt(String name) {
+        long value = getLong(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
             throw new FieldException(name, "expected a 32-bit integer in '" + name + "', found '" + value + "'");
         }
@@ -82,15 +82,15 @@
     }
 
     /** Returns a signed 32-bit integer, or the default if the field is missing. */
-    public int integer(String name, int defaultValue) {
-        return has(name) ? integer(name) : defaultValue;
+    public int getInt(String name, int defaultValue) {
+        return has(name) ? getInt(name) : defaultValue;
     }
 
     /**
      * Returns true for {@code 1} or {@code true}, false for {@code 0} or {@code false}, and the default if the field is
      * missing.
      */
-    public boolean flag(String name, boolean defaultValue) {
+    public boolean getBoolean(String name, boolean defaultValue) {
         String value = values.get(name);
         if (value == null) {
             return defaultValue;
@@ -103,7 +103,7 @@
     }
 
     /** Returns the decimal numbers of a comma-separated list; empty if the field is missing, empty or a dash. */
-    public double[] numbers(String name) {
+    public double[] getDoubles(String name) {
         String value = values.getOrDefault(name, "");
         if (value.isEmpty() || value.equals(EMPTY_VALUE)) {
             return new double[0];
@@ -117,8 +117,8 @@
     }
 
     /** Returns the bytes that pairs of hexadecimal digits represent; empty if the value is a dash. */
-    public byte[] bytes(String name) {
-        String value = text(name);
+    public byte[] getBytes(String name) {
+        String value = getString(name);
         if (value.equals(EMPTY_VALUE)) {
             return new byte[0];
         }
--- a/src/main/java/caperrudder/settings/SettingsReader.java
+++ b/src/main/java/caperrudder/settings/SettingsReader.java
@@ -25,16 +25,16 @@
      *
      * @throws FieldException for the first field that is required and missing, or that has an invalid value
      */
-    public static Settings read(Fields fields) {
+    public static Settings read(FieldValues fields) {
         Limits limits = limits(fields);
         Rules rules = rules(fields);
         Sharing sharing = sharing(fields);
         return new Settings(
-                fields.wholeNumber("rng_seed"),
-                fields.integer("ordinal"),
-                fields.integer("balancers"),
-                fields.text("az", ""),
-                fields.text("discovery", "automatic").equals(DISCOVERY_BY_SUBSCRIPTION),
+                fields.getLong("rng_seed"),
+                fields.getInt("ordinal"),
+                fields.getInt("balancers"),
+                fields.getString("az", ""),
+                fields.getString("discovery", "automatic").equals(DISCOVERY_BY_SUBSCRIPTION),
                 classes(fields),
                 plans(fields),
                 loadReportFields(fields),
@@ -43,94 +43,94 @@
                 sharing);
     }
 
-    private static Limits limits(Fields fields) {
+    private static Limits limits(FieldValues fields) {
         return new Limits(
-                fields.integer("limits.max_attempts", 1),
-                fields.flag("limits.may_duplicate", false),
-                fields.flag("limits.cancel", false),
-                fields.flag("limits.probes", false),
-                fields.flag("limits.peer_messages", false),
-                fields.flag("limits.retry_after", false),
-                fields.number("limits.max_retry_after_ms", 0),
-                fields.number("limits.connect_timeout_ms", 0));
+                fields.getInt("limits.max_attempts", 1),
+                fields.getBoolean("limits.may_duplicate", false),
+                fields.getBoolean("limits.cancel", false),
+                fields.getBoolean("limits.probes", false),
+                fields.getBoolean("limits.peer_messages", false),
+                fields.getBoolean("limits.retry_after", false),
+                fields.getDouble("limits.max_retry_after_ms", 0),
+                fields.getDouble("limits.connect_timeout_ms", 0));
     }
 
-    private static Rules rules(Fields fields) {
+    private static Rules rules(FieldValues fields) {
         return new Rules(
-                fields.number("rules.answer_slack_ms", 0),
-                fields.number("rules.drain_grace_ms", 0),
-                fields.number("rules.fall_multiple", 1),
-                fields.number("rules.fall_ms", 0),
-                fields.number("rules.cold_from", 0),
-                fields.number("rules.warm_within_ms", 0),
-                fields.number("rules.ask_within_ms", 0));
+                fields.getDouble("rules.answer_slack_ms", 0),
+                fields.getDouble("rules.drain_grace_ms", 0),
+                fields.getDouble("rules.fall_multiple", 1),
+                fields.getDouble("rules.fall_ms", 0),
+                fields.getDouble("rules.cold_from", 0),
+                fields.getDouble("rules.warm_within_ms", 0),
+                fields.getDouble("rules.ask_within_ms", 0));
     }
 
-    private static Sharing sharing(Fields fields) {
+    private static Sharing sharing(FieldValues fields) {
         return new Sharing(
-                fields.flag("specifics.counter", false),
-                fields.number("specifics.counter_price", 0),
-                fields.number("specifics.meter_period_ms", 0),
-                fields.flag("specifics.post_paid", false),
-                fields.number("specifics.max_units", 1),
-                fields.number("specifics.mail_per_s", 0),
-                fields.number("costs.peer", 0),
-                fields.number("costs.probe", 0),
-                fields.number("costs.cross_zone", 0));
+                fields.getBoolean("specifics.counter", false),
+                fields.getDouble("specifics.counter_price", 0),
+                fields.getDouble("specifics.meter_period_ms", 0),
+                fields.getBoolean("specifics.post_paid", false),
+                fields.getDouble("specifics.max_units", 1),
+                fields.getDouble("specifics.mail_per_s", 0),
+                fields.getDouble("costs.peer", 0),
+                fields.getDouble("costs.probe", 0),
+                fields.getDouble("costs.cross_zone", 0));
     }
 
-    private static List<String> loadReportFields(Fields fields) {
-        String names = fields.text("telemetry.names", "");
+    private static List<String> loadReportFields(FieldValues fields) {
+        String names = fields.getString("telemetry.names", "");
         return names.isEmpty() ? List.of() : List.of(names.split(","));
     }
 
-    private static List<RequestClass> classes(Fields fields) {
+    private static List<RequestClass> classes(FieldValues fields) {
         List<RequestClass> classes = new ArrayList<>();
-        int count = fields.integer("classes.count");
+        int count = fields.getInt("classes.count");
         for (int i = 0; i < count; i++) {
             classes.add(requestClass(fields, "classes." + i + "."));
         }
         return List.copyOf(classes);
     }
 
-    private static RequestClass requestClass(Fields fields, String prefix) {
+    private static RequestClass requestClass(FieldValues fields, String prefix) {
         return new RequestClass(
-                fields.text(prefix + "name"),
+                fields.getString(prefix + "name"),
                 idempotency(fields, prefix + "effect"),
                 deduplicationScope(fields, prefix + "key_scope"),
-                fields.number(prefix + "window_ms", 0),
-                fields.number(prefix + "goal_time_ms"),
-                fields.number(prefix + "hard_limit_ms"),
-                fields.number(prefix + "worth", 1),
-                fields.number(prefix + "late_value", 0),
-                fields.flag(prefix + "streaming", false));
+                fields.getDouble(prefix + "window_ms", 0),
+                fields.getDouble(prefix + "goal_time_ms"),
+                fields.getDouble(prefix + "hard_limit_ms"),
+                fields.getDouble(prefix + "worth", 1),
+                fields.getDouble(prefix + "late_value", 0),
+                fields.getBoolean(prefix + "streaming", false));
     }
 
-    private static List<Plan> plans(Fields fields) {
+    private static List<Plan> plans(FieldValues fields) {
         List<Plan> plans = new ArrayList<>();
-        int count = fields.integer("plans.count", 0);
+        int count = fields.getInt("plans.count", 0);
         for (int i = 0; i < count; i++) {
             plans.add(plan(fields, "plans." + i + "."));
         }
         return List.copyOf(plans);
     }
 
-    private static Plan plan(Fields fields, String prefix) {
+    private static Plan plan(FieldValues fields, String prefix) {
         return new Plan(
-                fields.text(prefix + "name"),
-                fields.number(prefix + "units_per_s", 0),
-                fields.number(prefix + "depth", 0),
-                fields.integer(prefix + "at_once", 0),
-                fields.number(prefix + "value_factor", 1),
-                fields.number(prefix + "over_worth", 0),
-                fields.number(prefix + "excess_cost", 0),
-                fields.number(prefix + "cap_rate", 0),
-                fields.number(prefix + "never_over_depth", 0),
-                fields.number(prefix + "cap_slack", 0));
+                fields.getString(prefix + "name"),
+                fields.getDouble(prefix + "units_per_s", 0),
+                fields.getDouble(prefix + "depth", 0),
+                fields.getInt(prefix + "at_once", 0),
+                fields.getDouble(prefix + "value_factor", 1),
+                fields.getDouble(prefix + "over_worth", 0),
+                fields.getDouble(prefix + "excess_cost", 0),
+                fields.getDouble(prefix + "cap_rate", 0),
+                fields.getDouble(prefix + "never_over_depth", 0),
+                fields.getDouble(prefix + "cap_slack", 0));
     }
 
-    private static Idempotency idempotency(Fields fields, String name) {
-        String value = fields.text(name);
+    private static Idempotency idempotency(FieldValues fields, String name) {
+        String value = fields.getString(name);
         return switch (value) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
@@ -139,8 +139,8 @@
         };
     }
 
-    private static DeduplicationScope deduplicationScope(Fields fields, String name) {
-        String value = fields.text(name, "all");
+    private static DeduplicationScope deduplicationScope(FieldValues fields, String name) {
+        String value = fields.getString(name, "all");
         return switch (value) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
--- a/src/main/java/caperrudder/simulator/EventTranslator.java
+++ b/src/main/java/caperrudder/simulator/EventTranslator.java
@@ -7,7 +7,7 @@
 import caperrudder.api.PolicyEvents;
 import caperrudder.api.Request;
 import caperrudder.settings.FieldException;
-import caperrudder.settings.Fields;
+import caperrudder.settings.FieldValues;
 import java.util.List;
 
 /** Translates messages of the simulator into calls of {@link PolicyEvents}. */
@@ -26,26 +26,29 @@
      * @return false if the message is unknown
      * @throws FieldException if a field is missing or has an invalid value
      */
-    boolean deliver(PolicyEvents policy, double nowMs, String name, Fields fields) {
+    boolean deliver(PolicyEvents policy, double nowMs, String name, FieldValues fields) {
         switch (name) {
             case SimulatorProtocol.MEMBERSHIP -> hostsUpdated(policy, nowMs, fields);
             case SimulatorProtocol.DEMAND -> policy.requestReceived(nowMs, request(nowMs, fields));
             case SimulatorProtocol.FLOWING -> policy.responseStarted(
-                    nowMs, fields.text(SimulatorProtocol.OPERATION_ID), fields.integer(SimulatorProtocol.ATTEMPT));
+                    nowMs, fields.getString(SimulatorProtocol.OPERATION_ID), fields.getInt(SimulatorProtocol.ATTEMPT));
             case SimulatorProtocol.COMPLETED -> policy.attemptEnded(nowMs, attemptResult(fields));
             case SimulatorProtocol.VANISHED -> policy.clientDisconnected(
-                    nowMs, fields.text(SimulatorProtocol.OPERATION_ID));
-            case SimulatorProtocol.DUE -> policy.timerFired(nowMs, fields.text(SimulatorProtocol.COOKIE));
+                    nowMs, fields.getString(SimulatorProtocol.OPERATION_ID));
+            case SimulatorProtocol.DUE -> policy.timerFired(nowMs, fields.getString(SimulatorProtocol.COOKIE));
             case SimulatorProtocol.PROBE_RESULT -> policy.healthCheckEnded(
                     nowMs,
-                    fields.text(SimulatorProtocol.HOST_ID),
+                    fields.getString(SimulatorProtocol.HOST_ID),
                     outcome(fields),
-                    fields.number(SimulatorProtocol.LATENCY_MS, 0),
-                    fields.numbers(SimulatorProtocol.LOAD_REPORT));
+                    fields.getDouble(SimulatorProtocol.LATENCY_MS, 0),
+                    fields.getDoubles(SimulatorProtocol.LOAD_REPORT));
             case SimulatorProtocol.FROM_PEER -> policy.peerMessageReceived(
-                    nowMs, fields.integer("neighbour"), fields.bytes(SimulatorProtocol.CONTENTS));
+                    nowMs, fields.getInt("neighbour"), fields.getBytes(SimulatorProtocol.CONTENTS));
             case SimulatorProtocol.COUNTED -> policy.counterUpdated(
-                    nowMs, fields.text(SimulatorProtocol.COUNTER), outcome(fields), fields.number("reading", 0));
+                    nowMs,
+                    fields.getString(SimulatorProtocol.COUNTER),
+                    outcome(fields),
+                    fields.getDouble("reading", 0));
             default -> {
                 return false;
             }
@@ -53,42 +56,42 @@
         return true;
     }
 
-    private void hostsUpdated(PolicyEvents policy, double nowMs, Fields fields) {
+    private void hostsUpdated(PolicyEvents policy, double nowMs, FieldValues fields) {
         HostListKind kind = hostListKind(fields);
         List<Host> hosts =
-                kind == HostListKind.FAILED ? List.of() : catalog.page(fields.integer(SimulatorProtocol.PAGE));
+                kind == HostListKind.FAILED ? List.of() : catalog.page(fields.getInt(SimulatorProtocol.PAGE));
         policy.hostsUpdated(nowMs, kind, hosts);
     }
 
-    private static Request request(double nowMs, Fields fields) {
+    private static Request request(double nowMs, FieldValues fields) {
         return new Request(
-                fields.text(SimulatorProtocol.OPERATION_ID),
-                fields.number("valid_until_ms"),
+                fields.getString(SimulatorProtocol.OPERATION_ID),
+                fields.getDouble("valid_until_ms"),
                 nowMs,
-                fields.flag("retry", false),
-                fields.text("lane"),
-                fields.wholeNumber("holder"),
-                fields.text("contract"),
-                fields.number("size_units"),
-                fields.integer("from_no", 0),
-                fields.integer("doors", 1));
+                fields.getBoolean("retry", false),
+                fields.getString("lane"),
+                fields.getLong("holder"),
+                fields.getString("contract"),
+                fields.getDouble("size_units"),
+                fields.getInt("from_no", 0),
+                fields.getInt("doors", 1));
     }
 
-    private static AttemptResult attemptResult(Fields fields) {
+    private static AttemptResult attemptResult(FieldValues fields) {
         return new AttemptResult(
-                fields.text(SimulatorProtocol.OPERATION_ID),
-                fields.integer(SimulatorProtocol.ATTEMPT),
-                fields.text(SimulatorProtocol.HOST_ID),
+                fields.getString(SimulatorProtocol.OPERATION_ID),
+                fields.getInt(SimulatorProtocol.ATTEMPT),
+                fields.getString(SimulatorProtocol.HOST_ID),
                 outcome(fields),
-                fields.number(SimulatorProtocol.LATENCY_MS, 0),
-                fields.flag("terminal", false),
-                fields.integer("use_pct", 0),
-                fields.number("cost", 0),
-                fields.numbers(SimulatorProtocol.LOAD_REPORT));
+                fields.getDouble(SimulatorProtocol.LATENCY_MS, 0),
+                fields.getBoolean("terminal", false),
+                fields.getInt("use_pct", 0),
+                fields.getDouble("cost", 0),
+                fields.getDoubles(SimulatorProtocol.LOAD_REPORT));
     }
 
-    private static HostListKind hostListKind(Fields fields) {
-        String kind = fields.text("how");
+    private static HostListKind hostListKind(FieldValues fields) {
+        String kind = fields.getString("how");
         return switch (kind) {
             case "D" -> HostListKind.CHANGES;
             case "F" -> HostListKind.FULL;
@@ -98,8 +101,8 @@
         };
     }
 
-    private static Outcome outcome(Fields fields) {
-        String reason = fields.text(SimulatorProtocol.REASON);
+    private static Outcome outcome(FieldValues fields) {
+        String reason = fields.getString(SimulatorProtocol.REASON);
         return switch (reason) {
             case "Ok" -> Outcome.OK;
             case "Failed" -> Outcome.ERROR;
--- a/src/main/java/caperrudder/simulator/HostCatalog.java
+++ b/src/main/java/caperrudder/simulator/HostCatalog.java
@@ -3,7 +3,7 @@
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
 import caperrudder.settings.FieldException;
-import caperrudder.settings.Fields;
+import caperrudder.settings.FieldValues;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,9 +19,9 @@
 
     /** Reads a page from the reader, whose current line must be its {@code CATALOG} line, up to its last host. */
     void readPage(MessageReader reader) throws IOException {
-        Fields header = reader.fields();
-        int page = header.integer(SimulatorProtocol.PAGE);
-        int size = header.integer("members");
+        FieldValues header = reader.fields();
+        int page = header.getInt(SimulatorProtocol.PAGE);
+        int size = header.getInt("members");
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             if (!reader.next() || !reader.name().equals(SimulatorProtocol.HOST)) {
@@ -45,19 +45,19 @@
         return hosts;
     }
 
-    private static Host host(Fields fields) {
+    private static Host host(FieldValues fields) {
         return new Host(
-                fields.text(SimulatorProtocol.HOST_ID),
-                fields.text("failure_domain", ""),
-                fields.text("shape", ""),
-                fields.integer("cohort", 0),
+                fields.getString(SimulatorProtocol.HOST_ID),
+                fields.getString("failure_domain", ""),
+                fields.getString("shape", ""),
+                fields.getInt("cohort", 0),
                 state(fields),
-                fields.number("rating", 1),
-                fields.number("born_ms", 0));
+                fields.getDouble("rating", 1),
+                fields.getDouble("born_ms", 0));
     }
 
-    private static HostState state(Fields fields) {
-        String mode = fields.text("mode");
+    private static HostState state(FieldValues fields) {
+        String mode = fields.getString("mode");
         return switch (mode) {
             case "Running" -> HostState.RUNNING;
             case "Stopping" -> HostState.DRAINING;
--- a/src/main/java/caperrudder/simulator/MessageReader.java
+++ b/src/main/java/caperrudder/simulator/MessageReader.java
@@ -1,6 +1,6 @@
 package caperrudder.simulator;
 
-import caperrudder.settings.Fields;
+import caperrudder.settings.FieldValues;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.util.HashMap;
@@ -44,9 +44,9 @@
      *
      * @throws WireFormatException if a field has no name or no value
      */
-    Fields fields() {
+    FieldValues fields() {
         int fieldSeparator = line.indexOf(SimulatorProtocol.FIELD_SEPARATOR);
-        return new Fields(fieldSeparator < 0 ? Map.of() : parse(line.substring(fieldSeparator + 1)));
+        return new FieldValues(fieldSeparator < 0 ? Map.of() : parse(line.substring(fieldSeparator + 1)));
     }
 
     /** Creates an exception for the current line. */
--- a/src/main/java/caperrudder/simulator/SimulatorAdapter.java
+++ b/src/main/java/caperrudder/simulator/SimulatorAdapter.java
@@ -2,7 +2,7 @@
 
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.settings.FieldException;
-import caperrudder.settings.Fields;
+import caperrudder.settings.FieldValues;
 import caperrudder.settings.SettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -51,9 +51,9 @@
         if (!reader.name().equals(SimulatorProtocol.BEGIN_BATCH)) {
             throw reader.error("expected BEGIN_BATCH, found '" + reader.name() + "'");
         }
-        Fields header = reader.fields();
-        double nowMs = header.number("moment_ms");
-        long turn = header.wholeNumber(SimulatorProtocol.TURN);
+        FieldValues header = reader.fields();
+        double nowMs = header.getDouble("moment_ms");
+        long turn = header.getLong(SimulatorProtocol.TURN);
         reply.begin();
         processMessages(nowMs);
         output.append(reply.end(turn));
@@ -72,7 +72,7 @@
                     return;
                 }
                 case SimulatorProtocol.TARGET_INSTANCE -> instance =
-                        reader.fields().wholeNumber(SimulatorProtocol.GATEWAY_ID);
+                        reader.fields().getLong(SimulatorProtocol.GATEWAY_ID);
                 case SimulatorProtocol.CATALOG -> catalog.readPage(reader);
                 default -> processMessage(nowMs, instance, name);
             }
@@ -83,7 +83,7 @@
         if (instance == NO_INSTANCE) {
             throw reader.error("'" + name + "' before any TARGET_INSTANCE");
         }
-        Fields fields = reader.fields();
+        FieldValues fields = reader.fields();
         switch (name) {
             case SimulatorProtocol.ATTACH -> attach(nowMs, instance, fields);
             case SimulatorProtocol.KILL -> policies.remove(instance);
@@ -91,13 +91,13 @@
         }
     }
 
-    private void attach(double nowMs, long instance, Fields fields) {
+    private void attach(double nowMs, long instance, FieldValues fields) {
         TrafficPolicy policy = new TrafficPolicy(new ActionWriter(reply, instance));
         policies.put(instance, policy);
         policy.start(nowMs, SettingsReader.read(fields));
     }
 
-    private void deliver(double nowMs, long instance, String name, Fields fields) {
+    private void deliver(double nowMs, long instance, String name, FieldValues fields) {
         TrafficPolicy policy = policies.get(instance);
         if (policy == null) {
             throw reader.error("'" + name + "' for an instance that was not started: " + instance);
--- a/src/test/java/caperrudder/settings/FieldsTest.java
+++ b/src/test/java/caperrudder/settings/FieldValuesTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.function.Executable;
 
 /** Tests how field values are parsed, and which errors missing and malformed fields cause. */
-class FieldsTest {
+class FieldValuesTest {
     private static final String FIELD = "some.field";
 
-    private static Fields fieldsWith(String value) {
-        return new Fields(Map.of(FIELD, value));
+    private static FieldValues fieldsWith(String value) {
+        return new FieldValues(Map.of(FIELD, value));
     }
 
     private static void assertReported(String message, Executable read) {
@@ -26,55 +26,55 @@
 
     @Test
     void missingFieldHasTheDefaultValue() {
-        Fields empty = new Fields(Map.of());
-        assertEquals("x", empty.text(FIELD, "x"));
-        assertEquals(1.5, empty.number(FIELD, 1.5));
-        assertEquals(7, empty.integer(FIELD, 7));
-        assertTrue(empty.flag(FIELD, true));
-        assertEquals(0, empty.numbers(FIELD).length);
+        FieldValues empty = new FieldValues(Map.of());
+        assertEquals("x", empty.getString(FIELD, "x"));
+        assertEquals(1.5, empty.getDouble(FIELD, 1.5));
+        assertEquals(7, empty.getInt(FIELD, 7));
+        assertTrue(empty.getBoolean(FIELD, true));
+        assertEquals(0, empty.getDoubles(FIELD).length);
         assertFalse(empty.has(FIELD));
     }
 
     @Test
     void missingFieldWithoutDefaultIsReportedByName() {
-        Fields empty = new Fields(Map.of());
+        FieldValues empty = new FieldValues(Map.of());
         String message = "missing field 'some.field'";
-        assertReported(message, () -> empty.text(FIELD));
-        assertReported(message, () -> empty.number(FIELD));
-        assertReported(message, () -> empty.wholeNumber(FIELD));
-        assertReported(message, () -> empty.integer(FIELD));
-        assertReported(message, () -> empty.bytes(FIELD));
+        assertReported(message, () -> empty.getString(FIELD));
+        assertReported(message, () -> empty.getDouble(FIELD));
+        assertReported(message, () -> empty.getLong(FIELD));
+        assertReported(message, () -> empty.getInt(FIELD));
+        assertReported(message, () -> empty.getBytes(FIELD));
     }
 
     @Test
     void malformedValueIsReportedWithItsField() {
-        assertReported("empty field 'some.field'", () -> fieldsWith("").text(FIELD));
+        assertReported("empty field 'some.field'", () -> fieldsWith("").getString(FIELD));
         assertReported("expected a number in 'some.field', found 'x'", () -> fieldsWith("x")
-                .number(FIELD, 0));
+                .getDouble(FIELD, 0));
         assertReported("expected a finite number in 'some.field', found 'NaN'", () -> fieldsWith("NaN")
-                .number(FIELD));
+                .getDouble(FIELD));
         assertReported("expected an integer in 'some.field', found '1.5'", () -> fieldsWith("1.5")
-                .wholeNumber(FIELD));
+                .getLong(FIELD));
         assertReported("expected a 32-bit integer in 'some.field', found '2147483648'", () -> fieldsWith("2147483648")
-                .integer(FIELD, 0));
+                .getInt(FIELD, 0));
         assertReported("expected 1, true, 0 or false in 'some.field', found 'yes'", () -> fieldsWith("yes")
-                .flag(FIELD, false));
+                .getBoolean(FIELD, false));
         assertReported("expected a number in 'some.field', found '1,,2'", () -> fieldsWith("1,,2")
-                .numbers(FIELD));
+                .getDoubles(FIELD));
         assertReported("expected hexadecimal bytes in 'some.field', found '0g'", () -> fieldsWith("0g")
-                .bytes(FIELD));
+                .getBytes(FIELD));
     }
 
     @Test
     void validValuesAreParsed() {
-        assertEquals(-2.5e3, fieldsWith("-2.5e3").number(FIELD));
-        assertEquals(Long.MAX_VALUE, fieldsWith("9223372036854775807").wholeNumber(FIELD));
-        assertEquals(Integer.MIN_VALUE, fieldsWith("-2147483648").integer(FIELD));
-        assertTrue(fieldsWith("1").flag(FIELD, false));
-        assertFalse(fieldsWith("false").flag(FIELD, true));
-        assertArrayEquals(new double[] {1, 2.5}, fieldsWith("1,2.5").numbers(FIELD));
-        assertEquals(0, fieldsWith("-").numbers(FIELD).length);
-        assertArrayEquals(new byte[] {0, (byte) 0xff}, fieldsWith("00ff").bytes(FIELD));
-        assertEquals(0, fieldsWith("-").bytes(FIELD).length);
+        assertEquals(-2.5e3, fieldsWith("-2.5e3").getDouble(FIELD));
+        assertEquals(Long.MAX_VALUE, fieldsWith("9223372036854775807").getLong(FIELD));
+        assertEquals(Integer.MIN_VALUE, fieldsWith("-2147483648").getInt(FIELD));
+        assertTrue(fieldsWith("1").getBoolean(FIELD, false));
+        assertFalse(fieldsWith("false").getBoolean(FIELD, true));
+        assertArrayEquals(new double[] {1, 2.5}, fieldsWith("1,2.5").getDoubles(FIELD));
+        assertEquals(0, fieldsWith("-").getDoubles(FIELD).length);
+        assertArrayEquals(new byte[] {0, (byte) 0xff}, fieldsWith("00ff").getBytes(FIELD));
+        assertEquals(0, fieldsWith("-").getBytes(FIELD).length);
     }
 }
