--- a/src/main/java/caperrudder/api/Sharing.java
+++ b/src/main/java/caperrudder/api/CoordinationSettings.java
@@ -4,8 +4,8 @@
  * How gateways can learn of each other's use, and the prices of their actions (WIRE, {@code specifics} and
  * {@code costs}).
  *
- * @param counter whether shared counters are available
- * @param counterPrice price of a call to a shared counter
+ * @param sharedCounters whether shared counters are available
+ * @param sharedCounterPrice price of a call to a shared counter
  * @param meterPeriodMs period over which the meter sums a customer's use, in milliseconds; 0 if there is no meter
  * @param postPaid whether the units of a request are an estimate, and the response reports the actual ones
  * @param maxUnits maximum units of a request
@@ -14,9 +14,9 @@
  * @param healthCheckPrice price of a health check
  * @param crossZonePrice price of an attempt at a host in another zone
  */
-public record Sharing(
-        boolean counter,
-        double counterPrice,
+public record CoordinationSettings(
+        boolean sharedCounters,
+        double sharedCounterPrice,
         double meterPeriodMs,
         boolean postPaid,
         double maxUnits,
--- a/src/main/java/caperrudder/api/Settings.java
+++ b/src/main/java/caperrudder/api/Settings.java
@@ -16,7 +16,7 @@
  * @param loadReportFields names of the values in a load report, in their order; empty if hosts send no load reports
  * @param limits the actions that the site permits, and their limits
  * @param rules rules of the site about hosts, clients and discovery
- * @param sharing how gateways learn of each other's use, and the prices of their actions
+ * @param coordination how gateways learn of each other's use, and the prices of their actions
  */
 public record Settings(
         long seed,
@@ -27,6 +27,6 @@
         List<RequestClass> classes,
         List<Plan> plans,
         List<String> loadReportFields,
-        Limits limits,
-        Rules rules,
-        Sharing sharing) {}
+        SiteLimits limits,
+        SiteRules rules,
+        CoordinationSettings coordination) {}
--- a/src/main/java/caperrudder/api/Limits.java
+++ b/src/main/java/caperrudder/api/SiteLimits.java
@@ -12,7 +12,7 @@
  * @param maxRetryAfterMs longest Retry-After that clients follow, in milliseconds
  * @param connectTimeoutMs timeout of connecting to a host, in milliseconds
  */
-public record Limits(
+public record SiteLimits(
         int maxAttempts,
         boolean hedging,
         boolean cancellation,
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -1,7 +1,7 @@
 package caperrudder.policy;
 
-import caperrudder.api.Limits;
 import caperrudder.api.PolicyActions;
+import caperrudder.api.SiteLimits;
 import caperrudder.policy.gossip.QuotaGossip;
 import caperrudder.policy.loadbalancing.Endpoint;
 import caperrudder.policy.loadbalancing.LoadBalancer;
@@ -18,7 +18,7 @@
  */
 final class RequestLifecycle {
     private final PolicyActions actions;
-    private final Limits limits;
+    private final SiteLimits limits;
     private final RetryAfter retryAfter;
     private final PendingRequests pending;
     private final FairScheduler<PendingRequest, Endpoint> scheduler;
@@ -29,7 +29,7 @@
 
     RequestLifecycle(
             PolicyActions actions,
-            Limits limits,
+            SiteLimits limits,
             PendingRequests pending,
             FairScheduler<PendingRequest, Endpoint> scheduler,
             ConcurrencyLimit limit,
--- a/src/main/java/caperrudder/policy/RetryAfter.java
+++ b/src/main/java/caperrudder/policy/RetryAfter.java
@@ -1,6 +1,6 @@
 package caperrudder.policy;
 
-import caperrudder.api.Limits;
+import caperrudder.api.SiteLimits;
 
 /** Computes the Retry-After delay of rejected requests. */
 final class RetryAfter {
@@ -9,9 +9,9 @@
 
     private static final double MIN_MS = TrafficPolicy.TICK_MS; // capacity and quota may change with the next tick
 
-    private final Limits limits;
+    private final SiteLimits limits;
 
-    RetryAfter(Limits limits) {
+    RetryAfter(SiteLimits limits) {
         this.limits = limits;
     }
 
--- a/src/main/java/caperrudder/policy/RetryPolicy.java
+++ b/src/main/java/caperrudder/policy/RetryPolicy.java
@@ -1,6 +1,6 @@
 package caperrudder.policy;
 
-import caperrudder.api.Limits;
+import caperrudder.api.SiteLimits;
 import caperrudder.policy.retry.RetryBudget;
 import caperrudder.policy.retry.RetrySafety;
 
@@ -8,9 +8,9 @@
 final class RetryPolicy {
     private final RetryBudget budget = new RetryBudget();
     private final RetrySafety safety;
-    private final Limits limits;
+    private final SiteLimits limits;
 
-    RetryPolicy(Limits limits) {
+    RetryPolicy(SiteLimits limits) {
         this.limits = limits;
         this.safety = new RetrySafety(limits.connectTimeoutMs());
     }
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -89,7 +89,7 @@
         OutstandingAttempts outstanding = new OutstandingAttempts(limit, loadBalancer, stalls);
         AttemptDispatcher dispatcher = new AttemptDispatcher(actions, loadBalancer, outstanding, retries);
         FairScheduler<PendingRequest, Endpoint> scheduler = new FairScheduler<>(classes.all(), limit, dispatcher);
-        boolean chargesTrueUnits = settings.sharing().postPaid();
+        boolean chargesTrueUnits = settings.coordination().postPaid();
         AttemptFeedback feedback = new AttemptFeedback(loadBalancer, limit, overdueShare, control, chargesTrueUnits);
         requests = new RequestLifecycle(
                 actions, settings.limits(), pending, scheduler, limit, loadBalancer, gossip, overdueShare);
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -33,7 +33,7 @@
         this.peers = ownership.peers();
         this.quotas = quotas;
         this.ownership = ownership;
-        double acceptedPerSecond = settings.sharing().peerMessagesPerSecond();
+        double acceptedPerSecond = settings.coordination().peerMessagesPerSecond();
         this.outbox = new GossipOutbox(now, peers.size(), acceptedPerSecond, actions, new CurrentEntryWriter());
         this.replication = new QuotaReplication(settings, ownership, outbox);
         this.requests = new OwnerRequests(quotas, ownership, replication, outbox);
--- a/src/main/java/caperrudder/policy/gossip/ReportHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReportHandler.java
@@ -24,7 +24,7 @@
             QuotaOwnership ownership,
             QuotaReplication replication,
             GossipOutbox outbox) {
-        this.maxUnits = settings.sharing().maxUnits();
+        this.maxUnits = settings.coordination().maxUnits();
         this.peers = ownership.peers();
         this.quotas = quotas;
         this.ownership = ownership;
--- a/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
@@ -1,22 +1,22 @@
 package caperrudder.policy.loadbalancing;
 
-import caperrudder.api.Rules;
+import caperrudder.api.SiteRules;
 
 /**
  * Limits the traffic to hosts that have just started, whose capacity rises with time. A host fails if all gateways
- * together send it more than {@link Rules#overloadMultiple()} times its present capacity (WIRE, rule 4), so each
+ * together send it more than {@link SiteRules#overloadMultiple()} times its present capacity (WIRE, rule 4), so each
  * gateway sends it only a limited share of the traffic.
  */
 final class SlowStart {
     private static final double OVERLOAD_SAFETY_FACTOR = 0.7; // leaves room for bursts
     private static final double MIN_CAPACITY_SHARE = 0.01; // above 0, since scores are divided by it
 
-    private final double coldStartCapacity;
+    private final double slowStartInitialCapacityShare;
     private final double slowStartMs;
     private final double overloadMultiple;
 
-    SlowStart(Rules rules) {
-        coldStartCapacity = rules.coldStartCapacity();
+    SlowStart(SiteRules rules) {
+        slowStartInitialCapacityShare = rules.slowStartInitialCapacityShare();
         slowStartMs = Math.max(1, rules.slowStartMs());
         overloadMultiple = rules.overloadMultiple();
     }
@@ -26,7 +26,10 @@
         double elapsedShare = (now - endpoint.startedAtMs()) / slowStartMs;
         return elapsedShare >= 1
                 ? 1
-                : Math.max(MIN_CAPACITY_SHARE, coldStartCapacity + (1 - coldStartCapacity) * Math.max(0, elapsedShare));
+                : Math.max(
+                        MIN_CAPACITY_SHARE,
+                        slowStartInitialCapacityShare
+                                + (1 - slowStartInitialCapacityShare) * Math.max(0, elapsedShare));
     }
 
     /** Returns whether an endpoint has less than its full capacity because it has just started. */
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -45,7 +45,7 @@
         UsageSource source = UsageSource.of(settings);
         this.usesPeerMessages = source == UsageSource.PEERS;
         this.usesMeter = source == UsageSource.METER;
-        this.meterPeriodMs = settings.sharing().meterPeriodMs();
+        this.meterPeriodMs = settings.coordination().meterPeriodMs();
         this.table = table;
         this.shares = new DemandShares(source, owners);
         this.owners = owners;
--- a/src/main/java/caperrudder/policy/quota/QuotaTable.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaTable.java
@@ -116,7 +116,7 @@
     private double localCapacity(Plan plan, double share) {
         return Math.max(
                 share * plan.burstUnits(),
-                Math.min(plan.burstUnits(), settings.sharing().maxUnits()));
+                Math.min(plan.burstUnits(), settings.coordination().maxUnits()));
     }
 
     /**
--- a/src/main/java/caperrudder/policy/quota/UsageSource.java
+++ b/src/main/java/caperrudder/policy/quota/UsageSource.java
@@ -14,6 +14,6 @@
     /** Returns the source that the settings allow; messages are preferred to the meter. */
     public static UsageSource of(Settings settings) {
         if (settings.limits().peerMessages()) return PEERS;
-        return settings.sharing().meterPeriodMs() > 0 ? METER : NONE;
+        return settings.coordination().meterPeriodMs() > 0 ? METER : NONE;
     }
 }
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
@@ -29,7 +29,7 @@
             double share = priority(spec) / prioritySum;
             byName.put(
                     spec.name(),
-                    new TrafficClass(spec, share, settings.sharing().maxUnits()));
+                    new TrafficClass(spec, share, settings.coordination().maxUnits()));
         }
         all = List.copyOf(byName.values());
     }
--- a/src/main/java/caperrudder/server/StartupWarmUp.java
+++ b/src/main/java/caperrudder/server/StartupWarmUp.java
@@ -1,8 +1,8 @@
 package caperrudder.server;
 
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.HostListKind;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.config.GatewayConfig;
 import caperrudder.server.config.GossipConfig;
@@ -144,19 +144,19 @@
                 settings.loadReportFields(),
                 settings.limits(),
                 settings.rules(),
-                withoutDelays(settings.sharing()));
+                withoutDelays(settings.coordination()));
     }
 
-    private static Sharing withoutDelays(Sharing sharing) {
-        return new Sharing(
-                sharing.counter(),
-                sharing.counterPrice(),
-                sharing.meterPeriodMs(),
-                sharing.postPaid(),
-                sharing.maxUnits(),
+    private static CoordinationSettings withoutDelays(CoordinationSettings coordination) {
+        return new CoordinationSettings(
+                coordination.sharedCounters(),
+                coordination.sharedCounterPrice(),
+                coordination.meterPeriodMs(),
+                coordination.postPaid(),
+                coordination.maxUnits(),
                 PEER_MESSAGES_PER_SECOND,
-                sharing.peerMessagePrice(),
-                sharing.healthCheckPrice(),
-                sharing.crossZonePrice());
+                coordination.peerMessagePrice(),
+                coordination.healthCheckPrice(),
+                coordination.crossZonePrice());
     }
 }
--- a/src/main/java/caperrudder/server/downstream/RequestParser.java
+++ b/src/main/java/caperrudder/server/downstream/RequestParser.java
@@ -90,7 +90,7 @@
     private boolean isPossible(double units, double replicaCount, double firstReplica) {
         int gateways = settings.gatewayCount();
         return units > 0
-                && units <= settings.sharing().maxUnits()
+                && units <= settings.coordination().maxUnits()
                 && replicaCount >= 1
                 && replicaCount <= gateways
                 && firstReplica >= 0
--- a/src/main/java/caperrudder/settings/SettingsReader.java
+++ b/src/main/java/caperrudder/settings/SettingsReader.java
@@ -1,13 +1,13 @@
 package caperrudder.settings;
 
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Idempotency;
-import caperrudder.api.Limits;
 import caperrudder.api.Plan;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Rules;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
+import caperrudder.api.SiteLimits;
+import caperrudder.api.SiteRules;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -26,9 +26,9 @@
      * @throws FieldException for the first field that is required and missing, or that has an invalid value
      */
     public static Settings read(FieldValues fields) {
-        Limits limits = limits(fields);
-        Rules rules = rules(fields);
-        Sharing sharing = sharing(fields);
+        SiteLimits limits = limits(fields);
+        SiteRules rules = rules(fields);
+        CoordinationSettings coordination = coordination(fields);
         return new Settings(
                 fields.getLong("rng_seed"),
                 fields.getInt("ordinal"),
@@ -40,11 +40,11 @@
                 loadReportFields(fields),
                 limits,
                 rules,
-                sharing);
+                coordination);
     }
 
-    private static Limits limits(FieldValues fields) {
-        return new Limits(
+    private static SiteLimits limits(FieldValues fields) {
+        return new SiteLimits(
                 fields.getInt("limits.max_attempts", 1),
                 fields.getBoolean("limits.may_duplicate", false),
                 fields.getBoolean("limits.cancel", false),
@@ -55,8 +55,8 @@
                 fields.getDouble("limits.connect_timeout_ms", 0));
     }
 
-    private static Rules rules(FieldValues fields) {
-        return new Rules(
+    private static SiteRules rules(FieldValues fields) {
+        return new SiteRules(
                 fields.getDouble("rules.answer_slack_ms", 0),
                 fields.getDouble("rules.drain_grace_ms", 0),
                 fields.getDouble("rules.fall_multiple", 1),
@@ -66,8 +66,8 @@
                 fields.getDouble("rules.ask_within_ms", 0));
     }
 
-    private static Sharing sharing(FieldValues fields) {
-        return new Sharing(
+    private static CoordinationSettings coordination(FieldValues fields) {
+        return new CoordinationSettings(
                 fields.getBoolean("specifics.counter", false),
                 fields.getDouble("specifics.counter_price", 0),
                 fields.getDouble("specifics.meter_period_ms", 0),
--- a/src/test/java/caperrudder/policy/ColdFleetTest.java
+++ b/src/test/java/caperrudder/policy/ColdFleetTest.java
@@ -3,18 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.AttemptResult;
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
 import caperrudder.api.Idempotency;
-import caperrudder.api.Limits;
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Rules;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
+import caperrudder.api.SiteLimits;
+import caperrudder.api.SiteRules;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -42,14 +42,14 @@
     private static final int SEEDS = 5;
 
     /** A deployment: its rules, and what its hosts can do. */
-    private record Site(Rules rules, int cores, double workMs, double deadlineMs, List<String> reports) {
+    private record Site(SiteRules rules, int cores, double workMs, double deadlineMs, List<String> reports) {
         double capacityPerMs() {
             return cores / workMs;
         }
 
         double ramp(double sinceMs) {
             double done = Math.min(1, sinceMs / rules.slowStartMs());
-            return rules.coldStartCapacity() + (1 - rules.coldStartCapacity()) * done;
+            return rules.slowStartInitialCapacityShare() + (1 - rules.slowStartInitialCapacityShare()) * done;
         }
 
         /** Requests of mean work that the rule allows in a window that begins so long after the start. */
@@ -58,9 +58,10 @@
         }
     }
 
-    private static final Site SLOW =
-            new Site(new Rules(8, 500, 2, 1500, 0.17, 17_000, 0), 3, 235, 5000, List.of("inflight", "queue", "util"));
-    private static final Site QUICK = new Site(new Rules(8, 500, 2.5, 3000, 0.19, 18_000, 0), 2, 75, 1500, List.of());
+    private static final Site SLOW = new Site(
+            new SiteRules(8, 500, 2, 1500, 0.17, 17_000, 0), 3, 235, 5000, List.of("inflight", "queue", "util"));
+    private static final Site QUICK =
+            new Site(new SiteRules(8, 500, 2.5, 3000, 0.19, 18_000, 0), 2, 75, 1500, List.of());
 
     /** What happens at one moment, as shares of all hosts: some come cold, some never come back. */
     private record Scene(String name, double cold, boolean known, double gone) {}
@@ -206,9 +207,9 @@
                                 List.of(read, order, pay),
                                 List.of(PolicyHarness.FREE),
                                 site.reports(),
-                                new Limits(6, false, true, false, false, true, 500, 250),
+                                new SiteLimits(6, false, true, false, false, true, 500, 250),
                                 site.rules(),
-                                new Sharing(false, 0, 0, false, 1, 0, 0, 0, 0)));
+                                new CoordinationSettings(false, 0, 0, false, 1, 0, 0, 0, 0)));
                 gateways.add(g);
                 arrive(g, weight[i] * perMs);
                 every(g, random.nextDouble() * BEAT_MS);
--- a/src/test/java/caperrudder/policy/FleetTest.java
+++ b/src/test/java/caperrudder/policy/FleetTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
 import caperrudder.api.Outcome;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -162,7 +162,7 @@
                 List.of(),
                 s.limits(),
                 s.rules(),
-                new Sharing(false, 0, 0, false, 4, 0, 0, 0, 0));
+                new CoordinationSettings(false, 0, 0, false, 4, 0, 0, 0, 0));
         PolicyHarness g = new PolicyHarness(1000, blind).withHosts("a1", "a2");
         for (int i = 0; i < 5; i++) {
             g.request("q" + i, "read", "small", 42, 2, GATEWAYS);
--- a/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
@@ -1,12 +1,12 @@
 package caperrudder.policy;
 
 import caperrudder.api.AttemptResult;
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.Outcome;
 import caperrudder.api.Plan;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -331,7 +331,7 @@
                         List.of(),
                         s.limits(),
                         s.rules(),
-                        new Sharing(false, 0, QuotaSimulation.PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
+                        new CoordinationSettings(false, 0, QuotaSimulation.PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
                 harnesses.add(new PolicyHarness(0, own).withHosts(names));
             }
         }
--- a/src/test/java/caperrudder/policy/MeteredFleetTest.java
+++ b/src/test/java/caperrudder/policy/MeteredFleetTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.Outcome;
 import caperrudder.api.Plan;
 import caperrudder.api.Request;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -149,7 +149,7 @@
                     s.loadReportFields(),
                     s.limits(),
                     s.rules(),
-                    new Sharing(false, 0, PERIOD_MS, false, 1, 0, 0, 0, 0));
+                    new CoordinationSettings(false, 0, PERIOD_MS, false, 1, 0, 0, 0, 0));
             fleet.add(new PolicyHarness(0, own).withHosts(hosts));
         }
         Outcomes outcomes = new Outcomes();
--- a/src/test/java/caperrudder/policy/PeerDecisionsTest.java
+++ b/src/test/java/caperrudder/policy/PeerDecisionsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.Plan;
-import caperrudder.api.Sharing;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -82,8 +82,8 @@
     /** Each gateway takes in few messages a second, and there are many to ask. */
     @Test
     void whereFewMessagesMayBeSentTheyShareQuotasAsBefore() {
-        WorldSettings settings =
-                WorldSettings.withPeers(43, 12).with(new Sharing(false, 0, 0, false, 4, 60, 0.01, 0.01, 0.01));
+        WorldSettings settings = WorldSettings.withPeers(43, 12)
+                .with(new CoordinationSettings(false, 0, 0, false, 4, 60, 0.01, 0.01, 0.01));
         SeededWorld world = new SeededWorld(settings, HOSTS);
         world.run(50);
         world.play(TRAFFIC, 5000);
--- a/src/test/java/caperrudder/policy/PolicyHarness.java
+++ b/src/test/java/caperrudder/policy/PolicyHarness.java
@@ -1,20 +1,20 @@
 package caperrudder.policy;
 
 import caperrudder.api.AttemptResult;
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Host;
 import caperrudder.api.HostListKind;
 import caperrudder.api.HostState;
 import caperrudder.api.Idempotency;
-import caperrudder.api.Limits;
 import caperrudder.api.Outcome;
 import caperrudder.api.Plan;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Rules;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
+import caperrudder.api.SiteLimits;
+import caperrudder.api.SiteRules;
 import caperrudder.policy.loadbalancing.LoadBalancer;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -78,9 +78,9 @@
                 List.of(READ, PAY, ORDER),
                 List.of(SMALL, CAPPED, OPEN, FREE),
                 List.of(),
-                new Limits(4, false, true, true, true, true, 500, 250),
-                new Rules(8, 500, 2, 1000, 0.2, 10_000, 0),
-                new Sharing(false, 0, 0, false, 4, 60, 0.01, 0.01, 0.01));
+                new SiteLimits(4, false, true, true, true, true, 500, 250),
+                new SiteRules(8, 500, 2, 1000, 0.2, 10_000, 0),
+                new CoordinationSettings(false, 0, 0, false, 4, 60, 0.01, 0.01, 0.01));
     }
 
     /** Gateways that can't talk to each other; a meter tells what each customer uses. */
@@ -95,9 +95,9 @@
                 s.classes(),
                 s.plans(),
                 List.of("util", "inflight"),
-                new Limits(4, false, true, false, false, true, 500, 250),
+                new SiteLimits(4, false, true, false, false, true, 500, 250),
                 s.rules(),
-                new Sharing(false, 0, 1000, false, 4, 0, 0, 0, 0));
+                new CoordinationSettings(false, 0, 1000, false, 4, 0, 0, 0, 0));
     }
 
     public LoadBalancer loadBalancer() {
--- a/src/test/java/caperrudder/policy/QuotaIntegrityTest.java
+++ b/src/test/java/caperrudder/policy/QuotaIntegrityTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import caperrudder.api.Limits;
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.Outcome;
 import caperrudder.api.Request;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
+import caperrudder.api.SiteLimits;
 import caperrudder.policy.gossip.QuotaEntry;
 import caperrudder.policy.gossip.QuotaMessage;
 import caperrudder.policy.gossip.QuotaMessageCodec;
@@ -38,7 +38,7 @@
     @Test
     void firstRequestIsAdmittedHoweverManyGatewaysShareTheCustomer() {
         Settings s = PolicyHarness.settings(0, 8);
-        Limits silent = new Limits(4, false, true, false, false, true, 500, 0);
+        SiteLimits silent = new SiteLimits(4, false, true, false, false, true, 500, 0);
         PolicyHarness g = new PolicyHarness(
                         1000,
                         new Settings(
@@ -52,7 +52,7 @@
                                 List.of(),
                                 silent,
                                 s.rules(),
-                                new Sharing(false, 0, 1000, false, 4, 0, 0, 0, 0)))
+                                new CoordinationSettings(false, 0, 1000, false, 4, 0, 0, 0, 0)))
                 .withHosts("a1");
         g.request("first", "read", "small", 1, 4, 8);
         g.request("more", "read", "small", 1, 4, 8);
--- a/src/test/java/caperrudder/policy/QuotaSharingTest.java
+++ b/src/test/java/caperrudder/policy/QuotaSharingTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.AttemptResult;
-import caperrudder.api.Limits;
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.Outcome;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
+import caperrudder.api.SiteLimits;
 import caperrudder.policy.gossip.OwnerReply;
 import caperrudder.policy.gossip.QuotaEntry;
 import caperrudder.policy.gossip.QuotaMessage;
@@ -256,7 +256,7 @@
     /** One of three gateways that know of each other by the meter alone; five requests have exhausted its even share of the bucket. */
     private static int admittedOfFour(int usedPercent) {
         Settings s = PolicyHarness.settings(0, 3);
-        Limits alone = new Limits(4, false, true, false, false, true, 500, 0);
+        SiteLimits alone = new SiteLimits(4, false, true, false, false, true, 500, 0);
         PolicyHarness g = new PolicyHarness(
                 1000,
                 new Settings(
@@ -270,7 +270,7 @@
                         s.loadReportFields(),
                         alone,
                         s.rules(),
-                        new Sharing(false, 0, 1000, false, 4, 0, 0, 0, 0)));
+                        new CoordinationSettings(false, 0, 1000, false, 4, 0, 0, 0, 0)));
         g.withHosts("a1", "a2", "a3");
         for (int i = 0; i < 5; i++) {
             g.advance(i == 4 ? 900 : 0);
--- a/src/test/java/caperrudder/policy/QuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/QuotaSimulation.java
@@ -1,10 +1,10 @@
 package caperrudder.policy;
 
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.Outcome;
 import caperrudder.api.Plan;
 import caperrudder.api.Request;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -155,7 +155,7 @@
                     s.loadReportFields(),
                     s.limits(),
                     s.rules(),
-                    new Sharing(false, 0, PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
+                    new CoordinationSettings(false, 0, PERIOD_MS, false, maxUnits, 0, 0, 0, 0));
             fleet.add(new PolicyHarness(0, own).withHosts(hosts));
         }
         return new Admission() {
--- a/src/test/java/caperrudder/policy/SeededWorld.java
+++ b/src/test/java/caperrudder/policy/SeededWorld.java
@@ -234,7 +234,7 @@
             GatewayProcess process = begin(i);
             serve(process);
         }
-        if (settings.sharing().meterPeriodMs() > 0) readMeters();
+        if (settings.coordination().meterPeriodMs() > 0) readMeters();
     }
 
     /** Starts a further process of this gateway, which doesn't serve yet. */
@@ -336,7 +336,9 @@
     /** It starts cold. */
     void restart(SimulatedEndpoint endpoint) {
         endpoint.start(
-                now, settings.rules().coldStartCapacity(), settings.rules().slowStartMs());
+                now,
+                settings.rules().slowStartInitialCapacityShare(),
+                settings.rules().slowStartMs());
     }
 
     private List<Host> listed() {
@@ -567,9 +569,9 @@
         boolean closed = call.answered;
         boolean responded = outcome == Outcome.OK || outcome == Outcome.ERROR;
         double tookMs = now - attempt.sentMs;
-        int usedPct = responded && settings.sharing().meterPeriodMs() > 0 ? usedPct(meter, request) : 0;
+        int usedPct = responded && settings.coordination().meterPeriodMs() > 0 ? usedPct(meter, request) : 0;
         double trueUnits =
-                responded && settings.sharing().postPaid() ? request.units() * (0.5 + random.nextDouble()) : 0;
+                responded && settings.coordination().postPaid() ? request.units() * (0.5 + random.nextDouble()) : 0;
         SimulatedEndpoint endpoint = attempt.endpoint;
         double[] report = responded || outcome == Outcome.REJECTED
                 ? new double[] {Math.min(1, (double) endpoint.held / endpoint.cores()), endpoint.held}
@@ -591,7 +593,7 @@
     // ---- what gateways learn of each other
 
     private void readMeters() {
-        at(now + settings.sharing().meterPeriodMs(), () -> {
+        at(now + settings.coordination().meterPeriodMs(), () -> {
             for (Meter meter : meters.values()) {
                 meter.lastUnits = meter.units;
                 meter.units = 0;
@@ -609,7 +611,7 @@
                 .findFirst()
                 .orElse(WorldSettings.FREE);
         double limit = plan.unitsPerSecond() > 0
-                ? plan.unitsPerSecond() * settings.sharing().meterPeriodMs() / 1000
+                ? plan.unitsPerSecond() * settings.coordination().meterPeriodMs() / 1000
                 : plan.concurrencyLimit();
         return 1 + (int) Math.round(100 * (plan.unitsPerSecond() > 0 ? meter.lastUnits : meter.lastPeak) / limit);
     }
--- a/src/test/java/caperrudder/policy/StreamingDecisionsTest.java
+++ b/src/test/java/caperrudder/policy/StreamingDecisionsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.HostState;
-import caperrudder.api.Limits;
 import caperrudder.api.Outcome;
+import caperrudder.api.SiteLimits;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -70,7 +70,7 @@
     @Test
     void withoutCancelAndRetryAfterTheyAreServedAsBefore() {
         WorldSettings settings =
-                WorldSettings.postPaid(32, 2).with(new Limits(2, false, false, false, false, false, 0, 250));
+                WorldSettings.postPaid(32, 2).with(new SiteLimits(2, false, false, false, false, false, 0, 250));
         SeededWorld world = play(settings);
         assertExercised(world);
         assertEquals(0, world.actions("cancel"));
--- a/src/test/java/caperrudder/policy/WorldSettings.java
+++ b/src/test/java/caperrudder/policy/WorldSettings.java
@@ -1,20 +1,20 @@
 package caperrudder.policy;
 
+import caperrudder.api.CoordinationSettings;
 import caperrudder.api.DeduplicationScope;
 import caperrudder.api.Idempotency;
-import caperrudder.api.Limits;
 import caperrudder.api.Plan;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Rules;
 import caperrudder.api.Settings;
-import caperrudder.api.Sharing;
+import caperrudder.api.SiteLimits;
+import caperrudder.api.SiteRules;
 import java.util.List;
 
 /**
  * Settings of the gateways of a seeded world. Their request classes have each effect and each scope of idempotency
  * keys, their plans each kind of limit; how gateways learn of each other's use differs from world to world.
  */
-record WorldSettings(long seed, int gateways, Limits limits, Rules rules, Sharing sharing) {
+record WorldSettings(long seed, int gateways, SiteLimits limits, SiteRules rules, CoordinationSettings coordination) {
     static final RequestClass LOOKUP =
             new RequestClass("lookup", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1500, 1, 0.2, false);
     static final RequestClass ORDER =
@@ -46,32 +46,32 @@
         return new WorldSettings(
                 seed,
                 gateways,
-                new Limits(4, false, true, false, true, true, 1500, 250),
-                new Rules(8, 500, 2, 1000, 0.2, 10_000, 0),
-                new Sharing(false, 0, 0, false, 4, 100, 0.01, 0.01, 0.01));
+                new SiteLimits(4, false, true, false, true, true, 1500, 250),
+                new SiteRules(8, 500, 2, 1000, 0.2, 10_000, 0),
+                new CoordinationSettings(false, 0, 0, false, 4, 100, 0.01, 0.01, 0.01));
     }
 
     /** Gateways that learn of each other's use by a meter alone. */
     static WorldSettings withMeter(long seed, int gateways) {
         return withPeers(seed, gateways)
-                .with(new Limits(4, false, true, false, false, true, 1500, 250))
-                .with(new Sharing(false, 0, METER_PERIOD_MS, false, 4, 0, 0, 0, 0));
+                .with(new SiteLimits(4, false, true, false, false, true, 1500, 250))
+                .with(new CoordinationSettings(false, 0, METER_PERIOD_MS, false, 4, 0, 0, 0, 0));
     }
 
     /** As with a meter; true units are told with the answers. */
     static WorldSettings postPaid(long seed, int gateways) {
-        return withMeter(seed, gateways).with(new Sharing(false, 0, METER_PERIOD_MS, true, 4, 0, 0, 0, 0));
+        return withMeter(seed, gateways).with(new CoordinationSettings(false, 0, METER_PERIOD_MS, true, 4, 0, 0, 0, 0));
     }
 
-    WorldSettings with(Limits other) {
-        return new WorldSettings(seed, gateways, other, rules, sharing);
+    WorldSettings with(SiteLimits other) {
+        return new WorldSettings(seed, gateways, other, rules, coordination);
     }
 
-    WorldSettings with(Rules other) {
-        return new WorldSettings(seed, gateways, limits, other, sharing);
+    WorldSettings with(SiteRules other) {
+        return new WorldSettings(seed, gateways, limits, other, coordination);
     }
 
-    WorldSettings with(Sharing other) {
+    WorldSettings with(CoordinationSettings other) {
         return new WorldSettings(seed, gateways, limits, rules, other);
     }
 
@@ -92,6 +92,6 @@
                 REPORTS,
                 limits,
                 rules,
-                sharing);
+                coordination);
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -304,7 +304,7 @@
                         List.of(),
                         settings.limits(),
                         settings.rules(),
-                        settings.sharing()));
+                        settings.coordination()));
         List<Host> hosts = IntStream.range(0, 20_000)
                 .mapToObj(i -> host("h" + i, "far", 1))
                 .toList();
--- a/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
@@ -6,12 +6,12 @@
 
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
-import caperrudder.api.Rules;
+import caperrudder.api.SiteRules;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class LoadReportsTest {
-    private final SlowStart slowStart = new SlowStart(new Rules(8, 500, 2, 1000, 0.2, 10_000, 0));
+    private final SlowStart slowStart = new SlowStart(new SiteRules(8, 500, 2, 1000, 0.2, 10_000, 0));
     private final LoadReports reports = new LoadReports(List.of("util", "inflight"), slowStart);
 
     private static Endpoint endpoint(String id) {
--- a/src/test/java/caperrudder/policy/loadbalancing/OutlierDetectorTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/OutlierDetectorTest.java
@@ -11,7 +11,7 @@
 import caperrudder.api.Idempotency;
 import caperrudder.api.Outcome;
 import caperrudder.api.RequestClass;
-import caperrudder.api.Rules;
+import caperrudder.api.SiteRules;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -73,7 +73,7 @@
 
     @Test
     void onlyUsableEndpointsUnderObservationCountAsEjectedOrAsMissingCapacity() {
-        SlowStart slowStart = new SlowStart(new Rules(8, 500, 2, 1000, 0.2, 10_000, 0));
+        SlowStart slowStart = new SlowStart(new SiteRules(8, 500, 2, 1000, 0.2, 10_000, 0));
         for (int i = 0; i < 2; i++) recordResult(READ, Outcome.CONNECT_FAILED, 0);
         detector.observe(endpoint);
         assertEquals(0, detector.ejectedCount(0)); // not listed, so not usable
--- a/src/test/java/caperrudder/policy/loadbalancing/SlowStartTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/SlowStartTest.java
@@ -6,13 +6,13 @@
 
 import caperrudder.api.Host;
 import caperrudder.api.HostState;
-import caperrudder.api.Rules;
+import caperrudder.api.SiteRules;
 import org.junit.jupiter.api.Test;
 
 class SlowStartTest {
     private static final double STARTED_AT_MS = 1000;
     private static final double SLOW_START_MS = 10_000;
-    private final SlowStart slowStart = new SlowStart(new Rules(8, 500, 2, 1000, 0.2, SLOW_START_MS, 0));
+    private final SlowStart slowStart = new SlowStart(new SiteRules(8, 500, 2, 1000, 0.2, SLOW_START_MS, 0));
     private final Endpoint endpoint = new Endpoint(new Host("h", "a", "std", 0, HostState.RUNNING, 1, STARTED_AT_MS));
 
     @Test
