--- a/src/main/java/caperrudder/api/PolicyEvents.java
+++ b/src/main/java/caperrudder/api/PolicyEvents.java
@@ -69,11 +69,11 @@
      * Takes over the state of the predecessor. May be called again with a later snapshot, because the predecessor may
      * still admit requests from the quotas that both processes share.
      */
-    void restoreSnapshot(double now, Snapshot snapshot);
+    void restoreSnapshot(double now, PolicySnapshot snapshot);
 
     /** Returns the number of known and of avoided hosts. Changes no state and takes no action. */
     ClusterHealth clusterHealth(double now);
 
     /** Returns the state that a successor takes over. Changes no state and takes no action. */
-    Snapshot takeSnapshot(double now);
+    PolicySnapshot takeSnapshot(double now);
 }
--- a/src/main/java/caperrudder/api/Snapshot.java
+++ b/src/main/java/caperrudder/api/PolicySnapshot.java
@@ -7,14 +7,14 @@
  * since 1970.
  *
  * @param takenAtMs when the snapshot was taken
- * @param concurrencyPerHost concurrency limit per host, as the number of attempts from all gateways together
+ * @param concurrencyLimitPerHost concurrency limit per host, as the number of attempts from all gateways together
  * @param quotas one entry per customer
  * @param health one entry per host, and one per host and class of requests
  * @param classes one entry per class of requests
  */
-public record Snapshot(
+public record PolicySnapshot(
         double takenAtMs,
-        double concurrencyPerHost,
+        double concurrencyLimitPerHost,
         List<QuotaSnapshot> quotas,
         List<HealthSnapshot> health,
         List<ClassSnapshot> classes) {}
--- a/src/main/java/caperrudder/api/QuotaSnapshot.java
+++ b/src/main/java/caperrudder/api/QuotaSnapshot.java
@@ -8,27 +8,28 @@
  * @param firstReplica index of the first gateway of the customer's replica set
  * @param replicaCount number of gateways in the replica set: the first and those that follow it, wrapping around after
  *     the last gateway
- * @param sharedLevel level of the bucket that this gateway keeps for the whole replica set, in units
- * @param localTokens level of the bucket of this gateway's own share, in units
- * @param meteredLevel level of the bucket that is used with metered admission, in units
- * @param demandPerSecond average units per second requested from this gateway
+ * @param sharedLevelUnits level of the bucket that this gateway keeps for the whole replica set, in units
+ * @param localLevelUnits level of the bucket of this gateway's own share, in units
+ * @param meteredLevelUnits level of the bucket that is used with metered admission, in units
+ * @param demandUnitsPerSecond average units per second requested from this gateway
  * @param usedUnits total units admitted by this gateway
- * @param usePerSecond average units per second admitted by this gateway
+ * @param usedUnitsPerSecond average units per second admitted by this gateway
  * @param meteredShare this gateway's share of the metered use, from 0 to 1
- * @param meteredAtMs time of the meter's last report in milliseconds since 1970; negative infinity if there was none
- * @param meteredOthersPerSecond metered use of the other gateways, in units per second
+ * @param lastMeterReportAtMs time of the meter's last report in milliseconds since 1970; negative infinity if there was
+ *     none
+ * @param meteredPeerUnitsPerSecond metered use of the other gateways, in units per second
  */
 public record QuotaSnapshot(
         long customer,
         String plan,
         int firstReplica,
         int replicaCount,
-        double sharedLevel,
-        double localTokens,
-        double meteredLevel,
-        double demandPerSecond,
+        double sharedLevelUnits,
+        double localLevelUnits,
+        double meteredLevelUnits,
+        double demandUnitsPerSecond,
         double usedUnits,
-        double usePerSecond,
+        double usedUnitsPerSecond,
         double meteredShare,
-        double meteredAtMs,
-        double meteredOthersPerSecond) {}
+        double lastMeterReportAtMs,
+        double meteredPeerUnitsPerSecond) {}
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -6,10 +6,10 @@
 import caperrudder.api.HostListKind;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.api.QuotaSnapshot;
 import caperrudder.api.Request;
 import caperrudder.api.Settings;
-import caperrudder.api.Snapshot;
 import caperrudder.policy.gossip.QuotaGossip;
 import caperrudder.policy.gossip.QuotaOwnership;
 import caperrudder.policy.loadbalancing.Endpoint;
@@ -187,8 +187,8 @@
     }
 
     @Override
-    public Snapshot takeSnapshot(double now) {
-        return new Snapshot(
+    public PolicySnapshot takeSnapshot(double now) {
+        return new PolicySnapshot(
                 now, limit.perHost(), quotas.snapshot(now), loadBalancer.takeSnapshot(), classes.snapshot());
     }
 
@@ -197,12 +197,12 @@
      * them. All other state is restored only if this gateway has no pending requests and no latency samples yet.
      */
     @Override
-    public void restoreSnapshot(double now, Snapshot snapshot) {
+    public void restoreSnapshot(double now, PolicySnapshot snapshot) {
         for (QuotaSnapshot quota : snapshot.quotas()) {
             quotas.restore(now, snapshot.takenAtMs(), quota);
         }
         if (!pending.isEmpty() || classes.haveSamples()) return;
-        limit.restore(snapshot.concurrencyPerHost());
+        limit.restore(snapshot.concurrencyLimitPerHost());
         loadBalancer.restore(now, snapshot.health());
         classes.restore(snapshot.classes());
     }
--- a/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
@@ -58,8 +58,8 @@
 
     private static void applyOwnerView(double now, CustomerQuota quota, OwnerReply reply) {
         double unbookedUnits = SerialArithmetic.unitsAhead(quota.usedUnits(), reply.bookedUnits());
-        double sharedLevel = reply.fullness() * quota.plan().burstUnits() - unbookedUnits;
-        quota.ownerReplied(now, reply.othersDemandPerSecond(), reply.othersOpenRequests(), sharedLevel);
+        double sharedLevelUnits = reply.fullness() * quota.plan().burstUnits() - unbookedUnits;
+        quota.ownerReplied(now, reply.othersDemandPerSecond(), reply.othersOpenRequests(), sharedLevelUnits);
     }
 
     private void decide(double now, PeerState owner, OwnerReply reply, List<OwnerRequest> answeredRequests) {
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
@@ -113,7 +113,7 @@
     /** Restores scores, and observes their endpoints. Ignores the scores of unknown hosts and classes. */
     void restore(double now, List<HealthSnapshot> snapshots, EndpointTable table) {
         for (HealthSnapshot snapshot : snapshots) {
-            Endpoint endpoint = table.find(snapshot.host());
+            Endpoint endpoint = table.find(snapshot.hostId());
             if (endpoint == null || !isKnownClass(snapshot.requestClass())) continue;
             endpoint.scores().of(snapshot.requestClass()).restore(snapshot, now);
             observe(endpoint);
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierScore.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierScore.java
@@ -19,7 +19,7 @@
 
     private double latencyPenalty = 1;
     private double updatedAtMs;
-    private int failuresSinceSuccess;
+    private int consecutiveFailures;
 
     /** Returns the penalty at {@code now}, from 0 to {@link #MAX_PENALTY}. */
     double latencyPenalty(double now) {
@@ -37,18 +37,18 @@
 
     /** Records a failure. The first one since a success gets a low weight; the following ones get {@code gain}. */
     void recordFailure(double gain, double now) {
-        record(MAX_PENALTY, failuresSinceSuccess > 0 ? gain : FIRST_FAILURE_GAIN, now);
-        failuresSinceSuccess++;
+        record(MAX_PENALTY, consecutiveFailures > 0 ? gain : FIRST_FAILURE_GAIN, now);
+        consecutiveFailures++;
     }
 
     /** Returns whether there were failures since the last {@link #clearFailures}. */
     boolean hasFailures() {
-        return failuresSinceSuccess > 0;
+        return consecutiveFailures > 0;
     }
 
     /** Makes the next failure count as the first one again. */
     void clearFailures() {
-        failuresSinceSuccess = 0;
+        consecutiveFailures = 0;
     }
 
     /** Resets the penalty to 1; keeps the count of failures. */
@@ -60,11 +60,11 @@
     void restore(HealthSnapshot snapshot, double now) {
         latencyPenalty = Math.max(0, Math.min(MAX_PENALTY, snapshot.latencyPenalty()));
         updatedAtMs = Math.min(now, snapshot.updatedAtMs());
-        failuresSinceSuccess = snapshot.failuresSinceSuccess();
+        consecutiveFailures = snapshot.consecutiveFailures();
     }
 
     /** Returns the score for a successor; {@code requestClass} is empty for the score of all classes. */
     HealthSnapshot takeSnapshot(String hostId, String requestClass) {
-        return new HealthSnapshot(hostId, requestClass, latencyPenalty, updatedAtMs, failuresSinceSuccess);
+        return new HealthSnapshot(hostId, requestClass, latencyPenalty, updatedAtMs, consecutiveFailures);
     }
 }
--- a/src/main/java/caperrudder/policy/quota/CustomerQuota.java
+++ b/src/main/java/caperrudder/policy/quota/CustomerQuota.java
@@ -294,14 +294,14 @@
      *
      * @param peerDemandPerSecond demand at the other gateways in units per second
      * @param peerOpenRequests requests open at the other gateways
-     * @param sharedLevel level of the shared bucket in units
+     * @param sharedLevelUnits level of the shared bucket in units
      */
-    public void ownerReplied(double now, double peerDemandPerSecond, int peerOpenRequests, double sharedLevel) {
+    public void ownerReplied(double now, double peerDemandPerSecond, int peerOpenRequests, double sharedLevelUnits) {
         demand.setOthers(peerDemandPerSecond);
         concurrency.setOpenAtOthers(peerOpenRequests);
         ownerRepliedAt = now;
         earlierUseKnown = true;
-        shared.setLevel(sharedLevel);
+        shared.setLevel(sharedLevelUnits);
     }
 
     /** Replaces the previous demand of a replica by its present demand; called at owners. */
@@ -375,9 +375,9 @@
      * @param usedHere units used by this process
      */
     void restore(double now, QuotaSnapshot saved, double usedHere) {
-        shared.restore(saved.sharedLevel(), usedHere);
-        local.setLevel(Math.min(plan.burstUnits(), saved.localTokens()) - usedHere);
-        demand.addOwn(saved.demandPerSecond());
+        shared.restore(saved.sharedLevelUnits(), usedHere);
+        local.setLevel(Math.min(plan.burstUnits(), saved.localLevelUnits()) - usedHere);
+        demand.addOwn(saved.demandUnitsPerSecond());
         meter.restore(now, saved, usedHere);
         earlierUseKnown = true;
     }
--- a/src/main/java/caperrudder/policy/quota/MeteredUse.java
+++ b/src/main/java/caperrudder/policy/quota/MeteredUse.java
@@ -128,13 +128,13 @@
      * @param usedSince units used by this gateway that the snapshot does not count
      */
     void restore(double now, QuotaSnapshot saved, double usedSince) {
-        bucket.restore(saved.meteredLevel(), usedSince);
-        ownPerSecond += saved.usePerSecond();
+        bucket.restore(saved.meteredLevelUnits(), usedSince);
+        ownPerSecond += saved.usedUnitsPerSecond();
         share = saved.meteredShare();
-        othersPerSecond = saved.meteredOthersPerSecond();
-        totalPerSecond = saved.meteredOthersPerSecond() + saved.usePerSecond();
+        othersPerSecond = saved.meteredPeerUnitsPerSecond();
+        totalPerSecond = saved.meteredPeerUnitsPerSecond() + saved.usedUnitsPerSecond();
         useMultiple = plan.unitsPerSecond() > 0 ? totalPerSecond / plan.unitsPerSecond() : 0;
-        reportedAt = Math.min(now, saved.meteredAtMs());
+        reportedAt = Math.min(now, saved.lastMeterReportAtMs());
     }
 
     double level() {
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
@@ -86,7 +86,7 @@
 
     /** Restores the statistics that the predecessor saved. */
     void restore(ClassSnapshot snapshot) {
-        weight.restore(snapshot.weight(), snapshot.delay(), snapshot.slope());
-        latency.restore(snapshot.latencyPerUnit(), snapshot.baseLatencyPerUnit(), snapshot.samples());
+        weight.restore(snapshot.weight(), snapshot.delayMs(), snapshot.delaySlopeMs());
+        latency.restore(snapshot.latencyPerUnitMs(), snapshot.baseLatencyPerUnitMs(), snapshot.latencySampleCount());
     }
 }
--- a/src/main/java/caperrudder/server/GatewayServer.java
+++ b/src/main/java/caperrudder/server/GatewayServer.java
@@ -5,8 +5,8 @@
 import caperrudder.api.HostListKind;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.api.Settings;
-import caperrudder.api.Snapshot;
 import caperrudder.policy.TrafficPolicy;
 import caperrudder.server.admin.MetricsSnapshot;
 import caperrudder.server.admin.RequestCounters;
@@ -168,7 +168,7 @@
      * @return false where a shutdown has begun before; then nobody is served
      * @throws IOException where the address of the clients can't be had
      */
-    public boolean start(Optional<Snapshot> predecessor) throws IOException {
+    public boolean start(Optional<PolicySnapshot> predecessor) throws IOException {
         EventLoop loop = eventLoop.loop();
         try {
             loop.submit(() -> {
@@ -200,7 +200,7 @@
         return startListener().orElseThrow();
     }
 
-    private void startPolicy(Optional<Snapshot> predecessor) {
+    private void startPolicy(Optional<PolicySnapshot> predecessor) {
         policyStarted = true;
         eventLoop.lag().start();
         policy.post((now, p) -> p.start(now, settings));
@@ -291,12 +291,12 @@
     // ---- handover
 
     @Override
-    public Snapshot takeSnapshot() throws InterruptedException, ExecutionException {
+    public PolicySnapshot takeSnapshot() throws InterruptedException, ExecutionException {
         return eventLoop.loop().submit(policy::takeSnapshot).get();
     }
 
     @Override
-    public void restoreSnapshot(Snapshot snapshot) {
+    public void restoreSnapshot(PolicySnapshot snapshot) {
         eventLoop.loop().execute(() -> policy.post((now, p) -> p.restoreSnapshot(now, snapshot)));
     }
 
--- a/src/main/java/caperrudder/server/PolicyEventQueue.java
+++ b/src/main/java/caperrudder/server/PolicyEventQueue.java
@@ -2,7 +2,7 @@
 
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.PolicyEvents;
-import caperrudder.api.Snapshot;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.server.runtime.Clock;
 import caperrudder.server.runtime.FatalErrorHandler;
 import caperrudder.server.runtime.Log;
@@ -70,7 +70,7 @@
     }
 
     /** What the next process of this gateway is to know. */
-    Snapshot takeSnapshot() {
+    PolicySnapshot takeSnapshot() {
         return policy.takeSnapshot(clock.now());
     }
 }
--- a/src/main/java/caperrudder/server/StartupProfileRun.java
+++ b/src/main/java/caperrudder/server/StartupProfileRun.java
@@ -1,6 +1,6 @@
 package caperrudder.server;
 
-import caperrudder.api.Snapshot;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.server.admin.AdminServer;
 import caperrudder.server.config.ConfigurationReloader;
 import caperrudder.server.config.GatewayConfig;
@@ -110,7 +110,7 @@
         if (handover.predecessorSnapshot().isPresent() || handover.hasServingSuccessor()) {
             throw new IOException("another process where there is none");
         }
-        Snapshot snapshot = server.takeSnapshot();
+        PolicySnapshot snapshot = server.takeSnapshot();
         SnapshotCodec.decode(SnapshotCodec.encode(snapshot));
         handover.end();
         Files.delete(shared.resolve(CLAIM_FILE));
--- a/src/main/java/caperrudder/server/handover/HandoverFiles.java
+++ b/src/main/java/caperrudder/server/handover/HandoverFiles.java
@@ -1,6 +1,6 @@
 package caperrudder.server.handover;
 
-import caperrudder.api.Snapshot;
+import caperrudder.api.PolicySnapshot;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -53,14 +53,14 @@
     }
 
     /** Leaves the file as it is where the snapshot is too long. */
-    void writeSnapshot(Snapshot snapshot) throws IOException {
+    void writeSnapshot(PolicySnapshot snapshot) throws IOException {
         byte[] bytes = SnapshotCodec.encode(snapshot);
         if (bytes.length <= SnapshotCodec.MAX_BYTES) {
             replace(snapshotFile, bytes);
         }
     }
 
-    Optional<Snapshot> readSnapshot() {
+    Optional<PolicySnapshot> readSnapshot() {
         byte[] bytes = read(snapshotFile, SnapshotCodec.MAX_BYTES);
         if (bytes.length == 0) {
             return Optional.empty();
--- a/src/main/java/caperrudder/server/handover/ProcessHandover.java
+++ b/src/main/java/caperrudder/server/handover/ProcessHandover.java
@@ -1,6 +1,6 @@
 package caperrudder.server.handover;
 
-import caperrudder.api.Snapshot;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.server.handover.HandoverFiles.Claim;
 import caperrudder.server.runtime.Clock;
 import caperrudder.server.runtime.Log;
@@ -81,8 +81,8 @@
     }
 
     /** The snapshot that the predecessor left; empty where there is none of now. */
-    public Optional<Snapshot> predecessorSnapshot() {
-        Optional<Snapshot> fresh =
+    public Optional<PolicySnapshot> predecessorSnapshot() {
+        Optional<PolicySnapshot> fresh =
                 readSnapshot().filter(snapshot -> Math.abs(clock.now() - snapshot.takenAtMs()) <= SNAPSHOT_MAX_AGE_MS);
         fresh.ifPresent(snapshot -> restoredAtMs = snapshot.takenAtMs());
         return fresh;
@@ -132,7 +132,7 @@
             return;
         }
         boolean ended = !isAlive(predecessor); // before its file is read, so that its last snapshot is not missed
-        Optional<Snapshot> later = readSnapshot().filter(snapshot -> snapshot.takenAtMs() > restoredAtMs);
+        Optional<PolicySnapshot> later = readSnapshot().filter(snapshot -> snapshot.takenAtMs() > restoredAtMs);
         if (later.isPresent()) {
             restoredAtMs = later.get().takenAtMs();
             gateway.restoreSnapshot(later.get());
@@ -142,7 +142,7 @@
         }
     }
 
-    private Optional<Snapshot> readSnapshot() {
+    private Optional<PolicySnapshot> readSnapshot() {
         return files.flatMap(HandoverFiles::readSnapshot);
     }
 
--- a/src/main/java/caperrudder/server/handover/SnapshotCodec.java
+++ b/src/main/java/caperrudder/server/handover/SnapshotCodec.java
@@ -2,8 +2,8 @@
 
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.HealthSnapshot;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.api.QuotaSnapshot;
-import caperrudder.api.Snapshot;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -34,12 +34,12 @@
     }
 
     /** The bytes of {@code snapshot}, of whatever length. */
-    public static byte[] encode(Snapshot snapshot) {
+    public static byte[] encode(PolicySnapshot snapshot) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeInt(FORMAT_VERSION);
             out.writeDouble(snapshot.takenAtMs());
-            out.writeDouble(snapshot.concurrencyPerHost());
+            out.writeDouble(snapshot.concurrencyLimitPerHost());
             encodeQuotas(out, snapshot.quotas());
             encodeHealth(out, snapshot.health());
             encodeClasses(out, snapshot.classes());
@@ -57,26 +57,26 @@
             out.writeUTF(quota.plan());
             out.writeInt(quota.firstReplica());
             out.writeInt(quota.replicaCount());
-            out.writeDouble(quota.sharedLevel());
-            out.writeDouble(quota.localTokens());
-            out.writeDouble(quota.meteredLevel());
-            out.writeDouble(quota.demandPerSecond());
+            out.writeDouble(quota.sharedLevelUnits());
+            out.writeDouble(quota.localLevelUnits());
+            out.writeDouble(quota.meteredLevelUnits());
+            out.writeDouble(quota.demandUnitsPerSecond());
             out.writeDouble(quota.usedUnits());
-            out.writeDouble(quota.usePerSecond());
+            out.writeDouble(quota.usedUnitsPerSecond());
             out.writeDouble(quota.meteredShare());
-            out.writeDouble(quota.meteredAtMs());
-            out.writeDouble(quota.meteredOthersPerSecond());
+            out.writeDouble(quota.lastMeterReportAtMs());
+            out.writeDouble(quota.meteredPeerUnitsPerSecond());
         }
     }
 
     private static void encodeHealth(DataOutputStream out, List<HealthSnapshot> entries) throws IOException {
         out.writeInt(entries.size());
         for (HealthSnapshot health : entries) {
-            out.writeUTF(health.host());
+            out.writeUTF(health.hostId());
             out.writeUTF(health.requestClass());
             out.writeDouble(health.latencyPenalty());
             out.writeDouble(health.updatedAtMs());
-            out.writeInt(health.failuresSinceSuccess());
+            out.writeInt(health.consecutiveFailures());
         }
     }
 
@@ -85,11 +85,11 @@
         for (ClassSnapshot requestClass : classes) {
             out.writeUTF(requestClass.name());
             out.writeDouble(requestClass.weight());
-            out.writeDouble(requestClass.latencyPerUnit());
-            out.writeDouble(requestClass.baseLatencyPerUnit());
-            out.writeInt(requestClass.samples());
-            out.writeDouble(requestClass.delay());
-            out.writeDouble(requestClass.slope());
+            out.writeDouble(requestClass.latencyPerUnitMs());
+            out.writeDouble(requestClass.baseLatencyPerUnitMs());
+            out.writeInt(requestClass.latencySampleCount());
+            out.writeDouble(requestClass.delayMs());
+            out.writeDouble(requestClass.delaySlopeMs());
         }
     }
 
@@ -98,7 +98,7 @@
      *
      * @throws SnapshotFormatException where they are torn, damaged or of another version of the format
      */
-    public static Snapshot decode(byte[] bytes) throws SnapshotFormatException {
+    public static PolicySnapshot decode(byte[] bytes) throws SnapshotFormatException {
         int length = bytes.length - CHECKSUM_BYTES;
         if (length < Integer.BYTES) {
             throw new SnapshotFormatException("only " + bytes.length + " bytes");
@@ -111,7 +111,7 @@
             if (readChecksum(bytes, length) != checksum(bytes, length)) {
                 throw new SnapshotFormatException("wrong checksum");
             }
-            return new Snapshot(
+            return new PolicySnapshot(
                     in.readDouble(),
                     in.readDouble(),
                     decodeAll(in, SnapshotCodec::decodeQuota),
--- a/src/main/java/caperrudder/server/handover/SnapshotExchange.java
+++ b/src/main/java/caperrudder/server/handover/SnapshotExchange.java
@@ -1,6 +1,6 @@
 package caperrudder.server.handover;
 
-import caperrudder.api.Snapshot;
+import caperrudder.api.PolicySnapshot;
 import java.util.concurrent.ExecutionException;
 
 /**
@@ -13,10 +13,10 @@
      *
      * @throws ExecutionException where the policy could not take it
      */
-    Snapshot takeSnapshot() throws InterruptedException, ExecutionException;
+    PolicySnapshot takeSnapshot() throws InterruptedException, ExecutionException;
 
     /** What the predecessor knew as of its latest snapshot. */
-    void restoreSnapshot(Snapshot snapshot);
+    void restoreSnapshot(PolicySnapshot snapshot);
 
     /** Whether another process of this gateway runs, with which this one shares its descriptors. */
     void runsBesideAnother(boolean anotherRuns);
--- a/src/test/java/caperrudder/policy/SnapshotDecisionsTest.java
+++ b/src/test/java/caperrudder/policy/SnapshotDecisionsTest.java
@@ -9,8 +9,8 @@
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.PolicyEvents;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.api.QuotaSnapshot;
-import caperrudder.api.Snapshot;
 import caperrudder.policy.SeededWorld.GatewayProcess;
 import java.util.ArrayList;
 import java.util.List;
@@ -42,7 +42,7 @@
         }
 
         void handOver(GatewayProcess from, GatewayProcess to) {
-            Snapshot snapshot = from.policy.takeSnapshot(world.now());
+            PolicySnapshot snapshot = from.policy.takeSnapshot(world.now());
             snapshots.addAll(text(snapshot));
             to.policy.restoreSnapshot(world.now(), snapshot);
             ClusterHealth cluster = to.policy.clusterHealth(world.now());
@@ -59,25 +59,27 @@
         }
     }
 
-    private static List<String> text(Snapshot snapshot) {
+    private static List<String> text(PolicySnapshot snapshot) {
         List<String> lines = new ArrayList<>();
-        lines.add("snapshot " + bits(snapshot.takenAtMs()) + " " + bits(snapshot.concurrencyPerHost()));
+        lines.add("snapshot " + bits(snapshot.takenAtMs()) + " " + bits(snapshot.concurrencyLimitPerHost()));
         for (QuotaSnapshot c : snapshot.quotas()) {
-            lines.add(
-                    "customer " + c.customer() + " " + c.plan() + " " + c.firstReplica() + " " + c.replicaCount() + " "
-                            + bits(c.sharedLevel()) + " " + bits(c.localTokens()) + " " + bits(c.meteredLevel()) + " "
-                            + bits(c.demandPerSecond()) + " "
-                            + bits(c.usedUnits()) + " " + bits(c.usePerSecond()) + " " + bits(c.meteredShare()) + " "
-                            + bits(c.meteredAtMs())
-                            + " " + bits(c.meteredOthersPerSecond()));
+            lines.add("customer " + c.customer() + " " + c.plan() + " " + c.firstReplica() + " " + c.replicaCount()
+                    + " "
+                    + bits(c.sharedLevelUnits()) + " " + bits(c.localLevelUnits()) + " " + bits(c.meteredLevelUnits())
+                    + " "
+                    + bits(c.demandUnitsPerSecond()) + " "
+                    + bits(c.usedUnits()) + " " + bits(c.usedUnitsPerSecond()) + " " + bits(c.meteredShare()) + " "
+                    + bits(c.lastMeterReportAtMs())
+                    + " " + bits(c.meteredPeerUnitsPerSecond()));
         }
         for (HealthSnapshot h : snapshot.health()) {
-            lines.add("health " + h.host() + " " + h.requestClass() + " " + bits(h.latencyPenalty()) + " "
-                    + bits(h.updatedAtMs()) + " " + h.failuresSinceSuccess());
+            lines.add("health " + h.hostId() + " " + h.requestClass() + " " + bits(h.latencyPenalty()) + " "
+                    + bits(h.updatedAtMs()) + " " + h.consecutiveFailures());
         }
         for (ClassSnapshot c : snapshot.classes()) {
-            lines.add("class " + c.name() + " " + bits(c.weight()) + " " + bits(c.latencyPerUnit()) + " "
-                    + bits(c.baseLatencyPerUnit()) + " " + c.samples() + " " + bits(c.delay()) + " " + bits(c.slope()));
+            lines.add("class " + c.name() + " " + bits(c.weight()) + " " + bits(c.latencyPerUnitMs()) + " "
+                    + bits(c.baseLatencyPerUnitMs()) + " " + c.latencySampleCount() + " " + bits(c.delayMs()) + " "
+                    + bits(c.delaySlopeMs()));
         }
         return lines;
     }
@@ -198,7 +200,8 @@
         SeededWorld world = new SeededWorld(WorldSettings.withPeers(24, 1), HOSTS);
         world.run(50);
         PolicyEvents policy = world.serving(0).policy;
-        policy.restoreSnapshot(world.now(), new Snapshot(world.now(), inherited, List.of(), List.of(), List.of()));
-        return policy.takeSnapshot(world.now()).concurrencyPerHost();
+        policy.restoreSnapshot(
+                world.now(), new PolicySnapshot(world.now(), inherited, List.of(), List.of(), List.of()));
+        return policy.takeSnapshot(world.now()).concurrencyLimitPerHost();
     }
 }
--- a/src/test/java/caperrudder/policy/SnapshotRestoreTest.java
+++ b/src/test/java/caperrudder/policy/SnapshotRestoreTest.java
@@ -6,8 +6,8 @@
 import caperrudder.api.ClusterHealth;
 import caperrudder.api.HealthSnapshot;
 import caperrudder.api.Outcome;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.api.QuotaSnapshot;
-import caperrudder.api.Snapshot;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -82,7 +82,7 @@
         PolicyHarness g = PolicyHarness.single().withHosts("a1", "b1");
         g.policy.restoreSnapshot(
                 g.now,
-                new Snapshot(
+                new PolicySnapshot(
                         g.now,
                         6,
                         List.of(new QuotaSnapshot(1, "gone", 0, 1, 0, 0, 0, 0, 9, 0, 1, g.now, 0)),
--- a/src/test/java/caperrudder/server/GatewayServerTest.java
+++ b/src/test/java/caperrudder/server/GatewayServerTest.java
@@ -25,10 +25,10 @@
 import caperrudder.api.Outcome;
 import caperrudder.api.PolicyActions;
 import caperrudder.api.PolicyEvents;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.api.Request;
 import caperrudder.api.RequestClass;
 import caperrudder.api.Settings;
-import caperrudder.api.Snapshot;
 import caperrudder.server.config.ConfigurationException;
 import caperrudder.server.config.GatewayConfig;
 import java.io.IOException;
@@ -690,11 +690,11 @@
         public void counterUpdated(double now, String counter, Outcome outcome, double total) {}
 
         @Override
-        public void restoreSnapshot(double now, Snapshot books) {}
+        public void restoreSnapshot(double now, PolicySnapshot books) {}
 
         @Override
-        public Snapshot takeSnapshot(double now) {
-            return new Snapshot(now, 1, List.of(), List.of(), List.of());
+        public PolicySnapshot takeSnapshot(double now) {
+            return new PolicySnapshot(now, 1, List.of(), List.of(), List.of());
         }
 
         @Override
--- a/src/test/java/caperrudder/server/handover/HandoverFilesGoldenTest.java
+++ b/src/test/java/caperrudder/server/handover/HandoverFilesGoldenTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import caperrudder.api.HealthSnapshot;
-import caperrudder.api.Snapshot;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.policy.GoldenFiles;
 import caperrudder.server.handover.HandoverFiles.Claim;
 import caperrudder.server.runtime.Clock;
@@ -146,8 +146,8 @@
         int head = 40; // bytes of a snapshot without entries
         int room = (SNAPSHOT_BYTES - head) / health;
         HealthSnapshot entry = new HealthSnapshot("host-67890", "", 1, 2, 3);
-        Snapshot largest = new Snapshot(1, 2, List.of(), Collections.nCopies(room, entry), List.of());
-        Snapshot larger = new Snapshot(1, 2, List.of(), Collections.nCopies(room + 1, entry), List.of());
+        PolicySnapshot largest = new PolicySnapshot(1, 2, List.of(), Collections.nCopies(room, entry), List.of());
+        PolicySnapshot larger = new PolicySnapshot(1, 2, List.of(), Collections.nCopies(room + 1, entry), List.of());
         files.writeSnapshot(largest);
         assertEquals(head + room * health, written(SNAPSHOT_NAME).length);
         files.writeSnapshot(larger);
@@ -181,12 +181,12 @@
         ProcessHandover handover = new ProcessHandover(
                 new SnapshotExchange() {
                     @Override
-                    public Snapshot takeSnapshot() {
+                    public PolicySnapshot takeSnapshot() {
                         return SnapshotGoldenTest.SNAPSHOT;
                     }
 
                     @Override
-                    public void restoreSnapshot(Snapshot snapshot) {
+                    public void restoreSnapshot(PolicySnapshot snapshot) {
                         throw new AssertionError("there is no other process");
                     }
 
--- a/src/test/java/caperrudder/server/handover/ProcessHandoverTest.java
+++ b/src/test/java/caperrudder/server/handover/ProcessHandoverTest.java
@@ -7,8 +7,8 @@
 
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.HealthSnapshot;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.api.QuotaSnapshot;
-import caperrudder.api.Snapshot;
 import caperrudder.server.GatewaySocketTest;
 import caperrudder.server.handover.HandoverFiles.Claim;
 import caperrudder.server.runtime.Clock;
@@ -34,7 +34,7 @@
     private Path dir;
 
     private final Clock clock = new Clock();
-    private final BlockingQueue<Snapshot> restored = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PolicySnapshot> restored = new LinkedBlockingQueue<>();
     private final List<ProcessHandover> handovers = new ArrayList<>();
     private volatile boolean beside;
     private Process other; // a process that lives
@@ -54,8 +54,8 @@
         other.destroyForcibly();
     }
 
-    private Snapshot snapshotOf(double at) {
-        return new Snapshot(
+    private PolicySnapshot snapshotOf(double at) {
+        return new PolicySnapshot(
                 at,
                 7,
                 List.of(new QuotaSnapshot(5, "p", 1, 2, 1, 2, 3, 4, 5, 6, 7, 8, 9)),
@@ -67,12 +67,12 @@
         ProcessHandover s = new ProcessHandover(
                 new SnapshotExchange() {
                     @Override
-                    public Snapshot takeSnapshot() {
+                    public PolicySnapshot takeSnapshot() {
                         return ProcessHandoverTest.this.snapshotOf(clock.now());
                     }
 
                     @Override
-                    public void restoreSnapshot(Snapshot snapshot) {
+                    public void restoreSnapshot(PolicySnapshot snapshot) {
                         restored.add(snapshot);
                     }
 
@@ -89,7 +89,7 @@
 
     @Test
     void snapshotIsDecodedAsItWasAndTornOrDamagedOnesAreRejected() throws Exception {
-        Snapshot b = snapshotOf(12.5);
+        PolicySnapshot b = snapshotOf(12.5);
         byte[] bytes = SnapshotCodec.encode(b);
         assertEquals(b, SnapshotCodec.decode(bytes));
         for (int length = 0; length < bytes.length; length++) {
@@ -139,7 +139,7 @@
         assertTrue(s.predecessorSnapshot().isPresent());
         s.startServing();
         assertEquals(Optional.of(new Claim(ProcessHandle.current().pid(), true)), files.readClaim());
-        Snapshot later = snapshotOf(clock.now());
+        PolicySnapshot later = snapshotOf(clock.now());
         files.writeSnapshot(later);
         assertEquals(later, restored.poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         other.destroyForcibly().waitFor();
--- a/src/test/java/caperrudder/server/handover/SnapshotGoldenTest.java
+++ b/src/test/java/caperrudder/server/handover/SnapshotGoldenTest.java
@@ -7,8 +7,8 @@
 
 import caperrudder.api.ClassSnapshot;
 import caperrudder.api.HealthSnapshot;
+import caperrudder.api.PolicySnapshot;
 import caperrudder.api.QuotaSnapshot;
-import caperrudder.api.Snapshot;
 import caperrudder.policy.GoldenFiles;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -28,7 +28,7 @@
     private static final int CUSTOMERS_AT = 20; // count of customers, after version, time and attempts a host
 
     /** What the golden snapshot says. */
-    static final Snapshot SNAPSHOT = new Snapshot(
+    static final PolicySnapshot SNAPSHOT = new PolicySnapshot(
             1_764_684_000_123.25,
             7.5,
             List.of(
@@ -57,7 +57,7 @@
                     new ClassSnapshot("read", 0.25, 12.5, 10.125, 4000, 31.5, 0.75),
                     new ClassSnapshot("order", 0.75, 0.1, 0.2, 0, 0, 0)));
 
-    private static final Snapshot EMPTY = new Snapshot(0, 6, List.of(), List.of(), List.of());
+    private static final PolicySnapshot EMPTY = new PolicySnapshot(0, 6, List.of(), List.of(), List.of());
 
     /** The snapshot with the checksum that its bytes have to carry, computed apart from the program. */
     private static byte[] sealed(byte[] snapshot) {
