--- a/src/main/java/caperrudder/api/Host.java
+++ b/src/main/java/caperrudder/api/Host.java
@@ -9,6 +9,6 @@
  * @param cell number of the cell; the hosts of a cell may share their record of idempotency keys
  * @param state whether the host accepts requests
  * @param weight capacity relative to other hosts; 1 if discovery does not give it
- * @param startedMs time of the last start in milliseconds since 1970; 0 if it is unknown or long ago
+ * @param startedAtMs time of the last start in milliseconds since 1970; 0 if it is unknown or long ago
  */
-public record Host(String id, String zone, String kind, int cell, HostState state, double weight, double startedMs) {}
+public record Host(String id, String zone, String kind, int cell, HostState state, double weight, double startedAtMs) {}
--- a/src/main/java/caperrudder/api/PolicyEvents.java
+++ b/src/main/java/caperrudder/api/PolicyEvents.java
@@ -24,9 +24,9 @@
     /**
      * The last byte of a request has arrived, whose body was incomplete before. Its client waits from now on.
      *
-     * @param deadlineMs when the client gives up
+     * @param deadlineAtMs when the client gives up
      */
-    void requestCompleted(double now, String id, double deadlineMs);
+    void requestCompleted(double now, String id, double deadlineAtMs);
 
     /**
      * A part of an incomplete request has been forwarded to a host without being buffered, so the request can't be sent
--- a/src/main/java/caperrudder/api/Request.java
+++ b/src/main/java/caperrudder/api/Request.java
@@ -4,8 +4,8 @@
  * A client's request. Times are in milliseconds of the clock of {@link PolicyEvents}.
  *
  * @param id unique among the gateway's open requests
- * @param deadlineMs when the client gives up
- * @param arrivedMs when the client began to wait
+ * @param deadlineAtMs when the client gives up
+ * @param arrivedAtMs when the client began to wait
  * @param clientRetry whether the client marked the request as a retry
  * @param requestClass name of the class
  * @param customer number of the customer
@@ -18,8 +18,8 @@
  */
 public record Request(
         String id,
-        double deadlineMs,
-        double arrivedMs,
+        double deadlineAtMs,
+        double arrivedAtMs,
         boolean clientRetry,
         String requestClass,
         long customer,
@@ -31,8 +31,8 @@
     /** Creates a request whose body is complete. */
     public Request(
             String id,
-            double deadlineMs,
-            double arrivedMs,
+            double deadlineAtMs,
+            double arrivedAtMs,
             boolean clientRetry,
             String requestClass,
             long customer,
@@ -42,8 +42,8 @@
             int replicaCount) {
         this(
                 id,
-                deadlineMs,
-                arrivedMs,
+                deadlineAtMs,
+                arrivedAtMs,
                 clientRetry,
                 requestClass,
                 customer,
--- a/src/main/java/caperrudder/api/RequestClass.java
+++ b/src/main/java/caperrudder/api/RequestClass.java
@@ -10,7 +10,7 @@
  * @param deduplicationWindowMs how long hosts remember an idempotency key after its first use, in milliseconds; used
  *     only with {@link Idempotency#IDEMPOTENCY_KEY}
  * @param latencyObjectiveMs response time in milliseconds up to which a response earns the full value of its request
- * @param deadlineMs how long a client waits for the response, over all attempts, in milliseconds
+ * @param clientTimeoutMs how long a client waits for the response, over all attempts, in milliseconds
  * @param priorityWeight value of a request of one unit, relative to other classes
  * @param lateValue share of its value, from 0 to 1, that a response between objective and deadline earns
  * @param streaming whether responses are streamed
@@ -21,7 +21,7 @@
         DeduplicationScope deduplicationScope,
         double deduplicationWindowMs,
         double latencyObjectiveMs,
-        double deadlineMs,
+        double clientTimeoutMs,
         double priorityWeight,
         double lateValue,
         boolean streaming) {}
--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -35,8 +35,8 @@
         this.request = request;
         this.trafficClass = trafficClass;
         this.quota = quota;
-        this.arrivedAt = request.arrivedMs();
-        this.deadline = request.deadlineMs();
+        this.arrivedAt = request.arrivedAtMs();
+        this.deadline = request.deadlineAtMs();
         this.bodyPending = request.bodyPending();
     }
 
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -116,9 +116,9 @@
     }
 
     @Override
-    public void requestCompleted(double now, String id, double deadlineMs) {
+    public void requestCompleted(double now, String id, double deadlineAtMs) {
         PendingRequest request = pending.find(id);
-        if (request != null) attempts.requestCompleted(now, request, deadlineMs);
+        if (request != null) attempts.requestCompleted(now, request, deadlineAtMs);
     }
 
     @Override
--- a/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
@@ -65,9 +65,9 @@
 
     private void update(double now, Host host) {
         Endpoint endpoint = table.put(host);
-        if (host.startedMs() <= 0 || host.startedMs() <= endpoint.startedAtMs()) return;
+        if (host.startedAtMs() <= 0 || host.startedAtMs() <= endpoint.startedAtMs()) return;
         double initialCredit = random.nextDouble(); // spreads the gateways' first requests over time
-        endpoint.restarted(host.startedMs(), initialCredit);
+        endpoint.restarted(host.startedAtMs(), initialCredit);
         if (slowStart.isWarmingUp(endpoint, now)) outliers.observe(endpoint);
         subset.noteStarted(endpoint);
     }
--- a/src/main/java/caperrudder/scale/FleetExperiment.java
+++ b/src/main/java/caperrudder/scale/FleetExperiment.java
@@ -210,8 +210,8 @@
         PhaseCosts returnCosts = begin("return");
         lost.forEach(host -> host.setSilent(false));
         load.requestsAtEachGateway(requestsEach, size.requestsPerSecond());
-        long startedMs = (long) fleet.clock().nowMs();
-        lost.forEach(host -> fleet.discovery().change(host, State.READY, startedMs));
+        long startedAtMs = (long) fleet.clock().nowMs();
+        lost.forEach(host -> fleet.discovery().change(host, State.READY, startedAtMs));
         measureLargeUpdate("return", lost, returnCosts);
         measurements.count("return.sends.cold", returnCosts.attemptsToRestarted(), "attempts");
     }
--- a/src/main/java/caperrudder/scale/SimulatedDiscovery.java
+++ b/src/main/java/caperrudder/scale/SimulatedDiscovery.java
@@ -31,7 +31,7 @@
         private final String zone;
         private final int cell;
         private State state = State.READY;
-        private long startedMs;
+        private long startedAtMs;
         private boolean silent;
         private int inFlight;
 
@@ -51,8 +51,8 @@
         }
 
         /** Its last start, in Unix milliseconds; 0 where that was long ago. */
-        long startedMs() {
-            return startedMs;
+        long startedAtMs() {
+            return startedAtMs;
         }
 
         String zone() {
@@ -118,10 +118,10 @@
         return version;
     }
 
-    /** Changes one host; {@code startedMs} is its last start, in Unix milliseconds, 0 where that was long ago. */
-    void change(SimulatedHost host, State state, long startedMs) {
+    /** Changes one host; {@code startedAtMs} is its last start, in Unix milliseconds, 0 where that was long ago. */
+    void change(SimulatedHost host, State state, long startedAtMs) {
         host.state = state;
-        host.startedMs = startedMs;
+        host.startedAtMs = startedAtMs;
         version++;
     }
 
@@ -162,7 +162,7 @@
                 .append(",\"state\":\"")
                 .append(host.state.name().toLowerCase(Locale.ROOT))
                 .append("\",\"weight\":1.0,\"started_ms\":")
-                .append(host.startedMs)
+                .append(host.startedAtMs)
                 .append('}');
     }
 }
--- a/src/main/java/caperrudder/scale/SimulatedFleet.java
+++ b/src/main/java/caperrudder/scale/SimulatedFleet.java
@@ -157,14 +157,14 @@
                     () -> endAttempt(gateway, id, attempt, hostId, Outcome.CONNECT_FAILED, sentAtMs));
             return;
         }
-        costs.attemptSent(hostId, host.startedMs() > 0);
+        costs.attemptSent(hostId, host.startedAtMs() > 0);
         host.beginWork();
         tenants.use(request.tenant(), 1, sentAtMs);
         clock.schedule(responseTimeMs(), () -> {
             host.endWork();
             if (host.isSilent()) { // vanished with its work: nothing comes before the request's time is up
                 clock.schedule(
-                        request.deadlineMs() - clock.nowMs(),
+                        request.deadlineAtMs() - clock.nowMs(),
                         () -> endAttempt(gateway, id, attempt, hostId, Outcome.TIMEOUT, sentAtMs));
             } else {
                 endAttempt(gateway, id, attempt, hostId, Outcome.OK, sentAtMs);
--- a/src/main/java/caperrudder/scale/SimulatedRequest.java
+++ b/src/main/java/caperrudder/scale/SimulatedRequest.java
@@ -5,7 +5,7 @@
     private final String id;
     private final SimulatedGateway gateway;
     private final int tenant;
-    private final double deadlineMs;
+    private final double deadlineAtMs;
     private final boolean[] attemptEnded = new boolean[FleetSettings.MAX_ATTEMPTS];
     private long nanos;
     private long bytes;
@@ -13,11 +13,11 @@
     private int attemptsOpen;
     private boolean closed;
 
-    SimulatedRequest(String id, SimulatedGateway gateway, int tenant, double deadlineMs) {
+    SimulatedRequest(String id, SimulatedGateway gateway, int tenant, double deadlineAtMs) {
         this.id = id;
         this.gateway = gateway;
         this.tenant = tenant;
-        this.deadlineMs = deadlineMs;
+        this.deadlineAtMs = deadlineAtMs;
     }
 
     String id() {
@@ -29,8 +29,8 @@
     }
 
     /** The moment at which the client gives up, on the simulated clock. */
-    double deadlineMs() {
-        return deadlineMs;
+    double deadlineAtMs() {
+        return deadlineAtMs;
     }
 
     /** Counts an attempt and gives its number. */
--- a/src/main/java/caperrudder/server/DrainTimings.java
+++ b/src/main/java/caperrudder/server/DrainTimings.java
@@ -21,7 +21,7 @@
     private static final double ABANDON_MAX_MS = 3000;
 
     static DrainTimings of(List<RequestClass> classes) {
-        double deadline = Math.min(DEADLINE_MAX_MS, longest(classes, RequestClass::deadlineMs));
+        double deadline = Math.min(DEADLINE_MAX_MS, longest(classes, RequestClass::clientTimeoutMs));
         double abandon = Math.min(ABANDON_MAX_MS, deadline + KILL_AFTER_DEADLINE_MS - EXIT_RESERVE_MS);
         double stopServing = abandon - longest(classes, RequestClass::latencyObjectiveMs);
         return new DrainTimings(
--- a/src/main/java/caperrudder/server/OpenRequest.java
+++ b/src/main/java/caperrudder/server/OpenRequest.java
@@ -20,7 +20,7 @@
     private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     private ClientConnection client; // null once closed
     private boolean closed;
-    private double deadlineMs;
+    private double deadlineAtMs;
     private UpstreamAttempt streaming; // of which the response goes to the client as it comes
     private int attemptsUnderWay;
     private Future<?> deadlineTimer;
@@ -36,7 +36,7 @@
         this.head = head;
         this.body = body;
         this.client = client;
-        this.deadlineMs = request.deadlineMs();
+        this.deadlineAtMs = request.deadlineAtMs();
     }
 
     @Override
@@ -94,18 +94,18 @@
         return body.isComplete();
     }
 
-    double deadlineMs() {
-        return deadlineMs;
+    double deadlineAtMs() {
+        return deadlineAtMs;
     }
 
     /** The client's time begins now that all has come. */
     void startTime(double nowMs) {
-        deadlineMs = nowMs + request.deadlineMs() - request.arrivedMs();
+        deadlineAtMs = nowMs + request.deadlineAtMs() - request.arrivedAtMs();
     }
 
     @Override
     public double timeLeftMs(double nowMs) {
-        return Math.max(1, isComplete() ? deadlineMs - nowMs : request.deadlineMs() - request.arrivedMs());
+        return Math.max(1, isComplete() ? deadlineAtMs - nowMs : request.deadlineAtMs() - request.arrivedAtMs());
     }
 
     void setDeadlineTimer(Future<?> timer) {
--- a/src/main/java/caperrudder/server/RequestDispatcher.java
+++ b/src/main/java/caperrudder/server/RequestDispatcher.java
@@ -110,7 +110,7 @@
     void completed(OpenRequest request) {
         request.startTime(now() - eventLoop.lag().ms());
         startDeadline(request);
-        policy.post((now, p) -> p.requestCompleted(now, request.id(), request.deadlineMs()));
+        policy.post((now, p) -> p.requestCompleted(now, request.id(), request.deadlineAtMs()));
     }
 
     void clientDisconnected(OpenRequest request) {
@@ -134,7 +134,7 @@
     // ---- deadlines
 
     private void startDeadline(OpenRequest request) {
-        request.setDeadlineTimer(eventLoop.schedule(() -> deadlinePassed(request), request.deadlineMs() - now()));
+        request.setDeadlineTimer(eventLoop.schedule(() -> deadlinePassed(request), request.deadlineAtMs() - now()));
     }
 
     /** Rule 1: attempts end with the client's time, and what the policy then leaves unanswered fails here. */
@@ -284,7 +284,7 @@
         OpenRequest request = attempt.request();
         return !sendingStopped
                 && !request.isClosed()
-                && (!request.isComplete() || nowMs < request.deadlineMs())
+                && (!request.isComplete() || nowMs < request.deadlineAtMs())
                 && attempt.number() < maxAttempts;
     }
 
--- a/src/main/java/caperrudder/server/WarmUpClients.java
+++ b/src/main/java/caperrudder/server/WarmUpClients.java
@@ -97,7 +97,7 @@
                 .set(RequestHeaders.TRACE_ID, Integer.toString(number))
                 .set(RequestHeaders.PLAN, plans.get(customer % plans.size()).name())
                 .set(RequestHeaders.CUSTOMER, String.format("%016x", customer))
-                .set(RequestHeaders.EXPIRES_IN_MS, Integer.toString((int) requestClass.deadlineMs()))
+                .set(RequestHeaders.EXPIRES_IN_MS, Integer.toString((int) requestClass.clientTimeoutMs()))
                 .set(RequestHeaders.QUOTA, "units=1,spread=" + (1 + customer % 2) + ",first=0")
                 .set(RequestHeaders.IDEMPOTENCY_KEY, Integer.toString(number))
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
--- a/src/main/java/caperrudder/server/discovery/EndpointEntryBuilder.java
+++ b/src/main/java/caperrudder/server/discovery/EndpointEntryBuilder.java
@@ -39,7 +39,7 @@
     private JsonNode cell = MISSING;
     private JsonNode state = MISSING;
     private JsonNode weight = MISSING;
-    private JsonNode startedMs = MISSING;
+    private JsonNode startedAtMs = MISSING;
 
     /** Sets a field of the entry; of two fields of one name the later one holds, and unknown ones are ignored. */
     void set(String field, JsonNode value) {
@@ -51,7 +51,7 @@
             case "cell" -> cell = value;
             case "state" -> state = value;
             case "weight" -> weight = value;
-            case "started_ms" -> startedMs = value;
+            case "started_ms" -> startedAtMs = value;
             default -> {}
         }
     }
@@ -66,7 +66,7 @@
         cell = MISSING;
         state = MISSING;
         weight = MISSING;
-        startedMs = MISSING;
+        startedAtMs = MISSING;
     }
 
     /** The host's id; empty where the entry has none. */
@@ -111,7 +111,7 @@
         }
         memoryBytes += HOST_BYTES + (long) LETTER_BYTES * id().length();
         Host host = new Host(
-                id(), share(zone), share(kind), cell.asInt(), listedState, weight.asDouble(1), startedMs.asDouble());
+                id(), share(zone), share(kind), cell.asInt(), listedState, weight.asDouble(1), startedAtMs.asDouble());
         return new EndpointList.Entry(host, listedAddress);
     }
 
--- a/src/main/java/caperrudder/server/downstream/RequestParser.java
+++ b/src/main/java/caperrudder/server/downstream/RequestParser.java
@@ -43,10 +43,10 @@
      * The request as the policy knows it. Its client has been waiting since it arrived, however late it is read.
      *
      * @param nowMs the time of the reading
-     * @param arrivedMs when it arrived
+     * @param arrivedAtMs when it arrived
      * @return null where the request lacks or has malformed what it must say; one object less for each request
      */
-    Request parse(HttpRequest message, RequestBody body, double nowMs, double arrivedMs) {
+    Request parse(HttpRequest message, RequestBody body, double nowMs, double arrivedAtMs) {
         HttpHeaders headers = message.headers();
         RequestClass requestClass = classes.get(firstSegment(message.uri()));
         String plan = headers.get(RequestHeaders.PLAN);
@@ -68,11 +68,11 @@
         if (!isPossible(units, replicaCount, firstReplica)) {
             return null;
         }
-        double waitsMs = Math.min(expiresInMs, requestClass.deadlineMs()); // no client of this class waits longer
+        double waitsMs = Math.min(expiresInMs, requestClass.clientTimeoutMs()); // no client of this class waits longer
         return new Request(
                 id,
-                Math.max(nowMs + 1, arrivedMs + waitsMs - RESPONSE_MARGIN_MS),
-                arrivedMs,
+                Math.max(nowMs + 1, arrivedAtMs + waitsMs - RESPONSE_MARGIN_MS),
+                arrivedAtMs,
                 headers.contains(RequestHeaders.CLIENT_RETRY),
                 requestClass.name(),
                 customer,
--- a/src/main/java/caperrudder/server/handover/ProcessHandover.java
+++ b/src/main/java/caperrudder/server/handover/ProcessHandover.java
@@ -72,12 +72,12 @@
         if (predecessor == NO_PROCESS) {
             return longestMs;
         }
-        double startedMs = ProcessHandle.current()
+        double startedAtMs = ProcessHandle.current()
                 .info()
                 .startInstant()
                 .map(instant -> (double) instant.toEpochMilli())
                 .orElse(clock.now());
-        return Math.max(0, Math.min(longestMs, (long) (startedMs + SUCCESSOR_READY_MS - clock.now())));
+        return Math.max(0, Math.min(longestMs, (long) (startedAtMs + SUCCESSOR_READY_MS - clock.now())));
     }
 
     /** The snapshot that the predecessor left; empty where there is none of now. */
--- a/src/main/java/caperrudder/server/upstream/ConnectionPool.java
+++ b/src/main/java/caperrudder/server/upstream/ConnectionPool.java
@@ -11,16 +11,16 @@
     private static final double REST_MS = 10; // a response's second copy comes up to some milliseconds after it
 
     private final InetSocketAddress address;
-    private final double startedMs;
+    private final double startedAtMs;
     /** The last used at the end; it begins small, since a gateway asks few of the hosts in a long list. */
     private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(0);
 
     private boolean closed;
     private boolean draining;
 
-    ConnectionPool(InetSocketAddress address, double startedMs) {
+    ConnectionPool(InetSocketAddress address, double startedAtMs) {
         this.address = address;
-        this.startedMs = startedMs;
+        this.startedAtMs = startedAtMs;
     }
 
     InetSocketAddress address() {
@@ -29,7 +29,7 @@
 
     /** Whether it leads to the same process at the same address as the entry tells. */
     boolean matches(EndpointList.Entry entry) {
-        return address.equals(entry.address()) && startedMs == entry.host().startedMs();
+        return address.equals(entry.address()) && startedAtMs == entry.host().startedAtMs();
     }
 
     void setDraining(boolean drains) {
--- a/src/main/java/caperrudder/server/upstream/ConnectionPools.java
+++ b/src/main/java/caperrudder/server/upstream/ConnectionPools.java
@@ -42,7 +42,7 @@
             pools.remove(id);
             close(old);
         } else if (!same && entry.address() != null) {
-            pools.put(id, new ConnectionPool(entry.address(), entry.host().startedMs()));
+            pools.put(id, new ConnectionPool(entry.address(), entry.host().startedAtMs()));
             close(old);
         }
         ConnectionPool now = pools.get(id);
--- a/src/test/java/caperrudder/policy/ColdFleetTest.java
+++ b/src/test/java/caperrudder/policy/ColdFleetTest.java
@@ -42,7 +42,7 @@
     private static final int SEEDS = 5;
 
     /** A deployment: its rules, and what its hosts can do. */
-    private record Site(SiteRules rules, int cores, double workMs, double deadlineMs, List<String> reports) {
+    private record Site(SiteRules rules, int cores, double workMs, double clientTimeoutMs, List<String> reports) {
         double capacityPerMs() {
             return cores / workMs;
         }
@@ -163,8 +163,8 @@
                     Idempotency.IDEMPOTENT,
                     DeduplicationScope.ALL,
                     0,
-                    site.deadlineMs() * 0.3,
-                    site.deadlineMs(),
+                    site.clientTimeoutMs() * 0.3,
+                    site.clientTimeoutMs(),
                     1,
                     0.2,
                     false);
@@ -172,9 +172,9 @@
                     "order",
                     Idempotency.IDEMPOTENCY_KEY,
                     DeduplicationScope.ALL,
-                    site.deadlineMs(),
-                    site.deadlineMs() * 0.4,
-                    site.deadlineMs(),
+                    site.clientTimeoutMs(),
+                    site.clientTimeoutMs() * 0.4,
+                    site.clientTimeoutMs(),
                     2,
                     0,
                     false);
@@ -183,8 +183,8 @@
                     Idempotency.NOT_IDEMPOTENT,
                     DeduplicationScope.ALL,
                     0,
-                    site.deadlineMs() * 0.4,
-                    site.deadlineMs(),
+                    site.clientTimeoutMs() * 0.4,
+                    site.clientTimeoutMs(),
                     3,
                     0.2,
                     false);
@@ -235,14 +235,14 @@
             at(now + exponential() / perMs, () -> {
                 String id = "r" + asked++;
                 double kind = random.nextDouble();
-                deadlines.put(id, now + site.deadlineMs());
+                deadlines.put(id, now + site.clientTimeoutMs());
                 act(
                         g,
                         () -> g.policy.requestReceived(
                                 now,
                                 new Request(
                                         id,
-                                        now + site.deadlineMs(),
+                                        now + site.clientTimeoutMs(),
                                         now,
                                         false,
                                         kind < 0.6 ? "read" : kind < 0.8 ? "order" : "pay",
--- a/src/test/java/caperrudder/policy/FleetTest.java
+++ b/src/test/java/caperrudder/policy/FleetTest.java
@@ -34,8 +34,8 @@
         }
     }
 
-    private static List<Host> hosts(IntStream numbers, double startedMs) {
-        return numbers.mapToObj(i -> new Host("h" + i, "a", "std", 0, HostState.RUNNING, 1, startedMs))
+    private static List<Host> hosts(IntStream numbers, double startedAtMs) {
+        return numbers.mapToObj(i -> new Host("h" + i, "a", "std", 0, HostState.RUNNING, 1, startedAtMs))
                 .toList();
     }
 
--- a/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
@@ -189,7 +189,7 @@
         made++;
         String id = client.id;
         out.put(id, client);
-        at(now + client.requestClass.deadlineMs(), () -> giveUp(client, id));
+        at(now + client.requestClass.clientTimeoutMs(), () -> giveUp(client, id));
         policy.requestArrived(now, client);
     }
 
@@ -344,7 +344,7 @@
                     time,
                     new Request(
                             client.id,
-                            time + client.requestClass.deadlineMs(),
+                            time + client.requestClass.clientTimeoutMs(),
                             time,
                             false,
                             client.requestClass.name(),
--- a/src/test/java/caperrudder/policy/OverQuotaCostUnderLoadTest.java
+++ b/src/test/java/caperrudder/policy/OverQuotaCostUnderLoadTest.java
@@ -44,14 +44,14 @@
     }
 
     private static RequestClass requestClass(
-            String name, double objectiveMs, double deadlineMs, double priorityWeight) {
+            String name, double objectiveMs, double clientTimeoutMs, double priorityWeight) {
         return new RequestClass(
                 name,
                 Idempotency.IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
                 objectiveMs,
-                deadlineMs,
+                clientTimeoutMs,
                 priorityWeight,
                 0,
                 false);
--- a/src/test/java/caperrudder/policy/SeededWorld.java
+++ b/src/test/java/caperrudder/policy/SeededWorld.java
@@ -151,7 +151,7 @@
         final List<Attempt> attempts = new ArrayList<>();
         boolean streams;
         boolean arriving;
-        double deadlineMs;
+        double deadlineAtMs;
         boolean answered; // or its client has left
         int comebacks;
 
@@ -160,7 +160,7 @@
             this.request = request;
             this.traffic = traffic;
             this.arriving = request.bodyPending();
-            this.deadlineMs = request.deadlineMs();
+            this.deadlineAtMs = request.deadlineAtMs();
         }
     }
 
@@ -169,7 +169,7 @@
         final Call call;
         final int number;
         final SimulatedEndpoint endpoint;
-        final double endpointStartedMs;
+        final double endpointStartedAtMs;
         double sentMs;
         boolean out = true;
         boolean held; // by its endpoint
@@ -179,7 +179,7 @@
             this.call = call;
             this.number = call.attempts.size();
             this.endpoint = endpoint;
-            this.endpointStartedMs = endpoint.startedMs;
+            this.endpointStartedAtMs = endpoint.startedAtMs;
             this.sentMs = now;
         }
     }
@@ -380,7 +380,7 @@
         int unknown = random.nextInt(UNKNOWN_EVERY);
         Request request = new Request(
                 "r" + asked++,
-                now + (arriving ? UPLOAD_DEADLINE_MS : requestClass.deadlineMs()),
+                now + (arriving ? UPLOAD_DEADLINE_MS : requestClass.clientTimeoutMs()),
                 now,
                 false,
                 unknown == 0 ? "unknown" : requestClass.name(),
@@ -411,8 +411,8 @@
         uploadsCompleted++;
         call.process.meet(p -> {
             call.arriving = false;
-            call.deadlineMs = now + requestClass.deadlineMs();
-            p.requestCompleted(now, call.request.id(), call.deadlineMs);
+            call.deadlineAtMs = now + requestClass.clientTimeoutMs();
+            p.requestCompleted(now, call.request.id(), call.deadlineAtMs);
             call.attempts.stream().filter(a -> a.out).toList().forEach(this::reach);
         });
     }
@@ -438,7 +438,7 @@
                 .orElse(WorldSettings.LOOKUP);
         Request request = new Request(
                 "r" + asked++,
-                now + requestClass.deadlineMs(),
+                now + requestClass.clientTimeoutMs(),
                 now,
                 true,
                 last.requestClass(),
@@ -503,7 +503,7 @@
         SimulatedEndpoint endpoint = attempt.endpoint;
         boolean fails = endpoint.failingClasses.contains(call.request.requestClass());
         if (endpoint.hangs || occurs(faults.hang())) {
-            endAt(call.deadlineMs, attempt, Outcome.TIMEOUT);
+            endAt(call.deadlineAtMs, attempt, Outcome.TIMEOUT);
         } else if (occurs(faults.reset())) {
             endAt(now + random.nextDouble() * WORK_MS, attempt, Outcome.RESET);
         } else if (fails || occurs(faults.error())) {
@@ -516,8 +516,8 @@
     private void respond(Attempt attempt, double when) {
         Call call = attempt.call;
         Outcome outcome = occurs(faults.spoilt()) ? Outcome.MALFORMED : Outcome.OK;
-        if (when > call.deadlineMs) {
-            endAt(call.deadlineMs, attempt, Outcome.TIMEOUT);
+        if (when > call.deadlineAtMs) {
+            endAt(call.deadlineAtMs, attempt, Outcome.TIMEOUT);
         } else if (call.streams && outcome == Outcome.OK) {
             at(when, () -> stream(attempt));
         } else {
@@ -530,7 +530,7 @@
     }
 
     private static boolean stillThere(Attempt attempt) {
-        return attempt.endpoint.up && attempt.endpoint.startedMs == attempt.endpointStartedMs;
+        return attempt.endpoint.up && attempt.endpoint.startedAtMs == attempt.endpointStartedAtMs;
     }
 
     /** The first bytes of a response that streams go to the client. */
--- a/src/test/java/caperrudder/policy/SimulatedEndpoint.java
+++ b/src/test/java/caperrudder/policy/SimulatedEndpoint.java
@@ -21,7 +21,7 @@
     private double coldFrom = 1;
 
     HostState state = HostState.RUNNING;
-    double startedMs; // 0: long ago
+    double startedAtMs; // 0: long ago
     boolean up = true;
     boolean hangs; // it takes requests and never answers
     final Set<String> failingClasses = new HashSet<>();
@@ -36,7 +36,7 @@
 
     /** It starts now: from this share of its capacity it warms up within so long. */
     void start(double now, double coldFrom, double warmWithinMs) {
-        startedMs = now;
+        startedAtMs = now;
         this.coldFrom = coldFrom;
         this.warmWithinMs = warmWithinMs;
         state = HostState.RUNNING;
@@ -45,11 +45,11 @@
     }
 
     boolean warmsUp(double now) {
-        return startedMs > 0 && now - startedMs < warmWithinMs;
+        return startedAtMs > 0 && now - startedAtMs < warmWithinMs;
     }
 
     Host listed() {
-        return new Host(id, zone, "std", cell, state, 1, startedMs);
+        return new Host(id, zone, "std", cell, state, 1, startedAtMs);
     }
 
     boolean isFull() {
@@ -67,7 +67,7 @@
             if (freeAt[i] < freeAt[core]) core = i;
         }
         double begin = Math.max(now, freeAt[core]);
-        double share = warmsUp(begin) ? coldFrom + (1 - coldFrom) * (begin - startedMs) / warmWithinMs : 1;
+        double share = warmsUp(begin) ? coldFrom + (1 - coldFrom) * (begin - startedAtMs) / warmWithinMs : 1;
         freeAt[core] = begin + workMs / share;
         return freeAt[core];
     }
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -33,9 +33,9 @@
     private static final int HOSTS = 700;
 
     /** Returns a host whose id may have the same hash as that of another number. */
-    private static Host host(int number, HostState state, double startedMs, String zone, int cell) {
+    private static Host host(int number, HostState state, double startedAtMs, String zone, int cell) {
         String id = number % 7 > 1 ? "h" + number : (number % 7 == 0 ? "Aa" : "BB") + number / 7;
-        return new Host(id, zone, "std", cell, state, 1, startedMs);
+        return new Host(id, zone, "std", cell, state, 1, startedAtMs);
     }
 
     private static Host host(String id, String zone, int cell) {
@@ -79,7 +79,7 @@
                         new KnownHost(
                                 host,
                                 host.state() != HostState.GONE,
-                                host.startedMs() > 0 ? Math.max(startedAtMs, host.startedMs()) : startedAtMs));
+                                host.startedAtMs() > 0 ? Math.max(startedAtMs, host.startedAtMs()) : startedAtMs));
             }
         }
 
@@ -150,9 +150,9 @@
             for (int i = fullList ? 0 : random.nextInt(4); i < (fullList ? hostCount : 3); i++) {
                 HostState state =
                         HostState.values()[Math.max(0, random.nextInt(fullList ? 12 : 5) - (fullList ? 9 : 2))];
-                double startedMs = random.nextInt(3) == 0 ? gateway.now() - random.nextInt(15_000) : 0;
-                listed.add(
-                        host(random.nextInt(hostCount), state, startedMs, "z" + random.nextInt(3), random.nextInt(5)));
+                double startedAtMs = random.nextInt(3) == 0 ? gateway.now() - random.nextInt(15_000) : 0;
+                listed.add(host(
+                        random.nextInt(hostCount), state, startedAtMs, "z" + random.nextInt(3), random.nextInt(5)));
             }
             HostListKind kind =
                     fullList ? random.nextBoolean() ? HostListKind.FULL : HostListKind.CACHED : HostListKind.CHANGES;
--- a/src/test/java/caperrudder/scale/SimulatedDiscoveryTest.java
+++ b/src/test/java/caperrudder/scale/SimulatedDiscoveryTest.java
@@ -42,7 +42,7 @@
         Host told = change.hosts().get(0);
         assertEquals(
                 List.of(host.id(), HostState.DRAINING, 1234.0, 1.0, "m2"),
-                List.of(told.id(), told.state(), told.startedMs(), told.weight(), told.kind()));
+                List.of(told.id(), told.state(), told.startedAtMs(), told.weight(), told.kind()));
     }
 
     @ParameterizedTest
--- a/src/test/java/caperrudder/server/GatewayServerTest.java
+++ b/src/test/java/caperrudder/server/GatewayServerTest.java
@@ -617,9 +617,9 @@
                         .text());
     }
 
-    private static RequestClass timed(double aimMs, double deadlineMs) {
+    private static RequestClass timed(double aimMs, double clientTimeoutMs) {
         return new RequestClass(
-                "c" + aimMs, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, aimMs, deadlineMs, 1, 0, false);
+                "c" + aimMs, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, aimMs, clientTimeoutMs, 1, 0, false);
     }
 
     /** What is served late in a drain still has its wanted time before all ends, and that comes before the kill. */
@@ -661,7 +661,7 @@
         }
 
         @Override
-        public void requestCompleted(double now, String id, double deadlineMs) {}
+        public void requestCompleted(double now, String id, double deadlineAtMs) {}
 
         @Override
         public void requestNotReplayable(double now, String id) {}
