--- a/src/main/java/caperrudder/api/ClusterHealth.java
+++ b/src/main/java/caperrudder/api/ClusterHealth.java
@@ -3,7 +3,8 @@
 /**
  * The number of hosts that a gateway knows and how many of them it avoids.
  *
- * @param size number of listed hosts
- * @param unhealthy number of listed hosts that the gateway avoids now, because of their state or of outlier detection
+ * @param hostCount number of listed hosts
+ * @param unhealthyHostCount number of listed hosts that the gateway avoids now, because of their state or of outlier
+ *     detection
  */
-public record ClusterHealth(int size, int unhealthy) {}
+public record ClusterHealth(int hostCount, int unhealthyHostCount) {}
--- a/src/main/java/caperrudder/api/Outcome.java
+++ b/src/main/java/caperrudder/api/Outcome.java
@@ -30,7 +30,7 @@
     MALFORMED;
 
     /** Returns whether the outcome proves that the host did not execute the request. */
-    public boolean neverRan() {
+    public boolean provesNotExecuted() {
         return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
     }
 }
--- a/src/main/java/caperrudder/api/PolicyEvents.java
+++ b/src/main/java/caperrudder/api/PolicyEvents.java
@@ -26,7 +26,7 @@
      *
      * @param deadlineAtMs when the client gives up
      */
-    void requestCompleted(double now, String id, double deadlineAtMs);
+    void requestBodyCompleted(double now, String id, double deadlineAtMs);
 
     /**
      * A part of an incomplete request has been forwarded to a host without being buffered, so the request can't be sent
@@ -63,7 +63,7 @@
     void peerMessageReceived(double now, int peer, byte[] data);
 
     /** A call to a shared counter has ended; {@code total} is the value of the counter after the call. */
-    default void counterUpdated(double now, String counter, Outcome outcome, double total) {}
+    default void counterCallEnded(double now, String counter, Outcome outcome, double total) {}
 
     /**
      * Takes over the state of the predecessor. May be called again with a later snapshot, because the predecessor may
--- a/src/main/java/caperrudder/policy/Attempt.java
+++ b/src/main/java/caperrudder/policy/Attempt.java
@@ -85,7 +85,7 @@
     /** Records the outcome that was reported for the attempt. */
     void end(Outcome outcome) {
         open = false;
-        if (!outcome.neverRan()) return;
+        if (!outcome.provesNotExecuted()) return;
         delivery = outcome == Outcome.REJECTED ? Delivery.REJECTED : Delivery.NOT_DELIVERED;
     }
 
--- a/src/main/java/caperrudder/policy/AttemptFeedback.java
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -14,20 +14,20 @@
     private final ConcurrencyLimit limit;
     private final OverdueShare overdueShare;
     private final AdmissionControl admission;
-    private final boolean chargesTrueUnits;
+    private final boolean chargesActualUnits;
 
-    /** @param chargesTrueUnits whether quotas are charged for the units that hosts report as really used */
+    /** @param chargesActualUnits whether quotas are charged for the units that hosts report as really used */
     AttemptFeedback(
             LoadBalancer loadBalancer,
             ConcurrencyLimit limit,
             OverdueShare overdueShare,
             AdmissionControl admission,
-            boolean chargesTrueUnits) {
+            boolean chargesActualUnits) {
         this.loadBalancer = loadBalancer;
         this.limit = limit;
         this.overdueShare = overdueShare;
         this.admission = admission;
-        this.chargesTrueUnits = chargesTrueUnits;
+        this.chargesActualUnits = chargesActualUnits;
     }
 
     /** Records the result of an attempt that has ended. */
@@ -38,7 +38,7 @@
         if (result.outcome() == Outcome.OK) recordServed(now, request, result);
         if (result.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
         if (request.quota() != null) {
-            admission.meterReported(now, request.quota(), request, result.quotaUsedPercent());
+            admission.meterReported(now, request.quota(), request, result.quotaUsedPercentPlusOne());
         }
     }
 
@@ -49,8 +49,8 @@
         trafficClass.noteServed(result.latencyMs(), responseTimeMs, request.units());
         overdueShare.note(responseTimeMs > objectiveMs);
         limit.noteResponse(result.latencyMs(), trafficClass.latency().baseMs(request.units()), objectiveMs);
-        if (request.quota() != null && chargesTrueUnits && result.trueUnits() > 0) {
-            request.quota().charge(result.trueUnits() - request.units());
+        if (request.quota() != null && chargesActualUnits && result.actualUnits() > 0) {
+            request.quota().charge(result.actualUnits() - request.units());
         }
     }
 }
--- a/src/main/java/caperrudder/policy/AttemptLifecycle.java
+++ b/src/main/java/caperrudder/policy/AttemptLifecycle.java
@@ -33,7 +33,7 @@
     }
 
     /** Handles the arrival of the last byte of a request's body: the endpoints begin to work on its open attempts. */
-    void requestCompleted(double now, PendingRequest request, double deadline) {
+    void requestBodyCompleted(double now, PendingRequest request, double deadline) {
         if (!request.isBodyPending()) return;
         request.complete(now, deadline);
         for (Attempt attempt : request.attempts()) {
@@ -54,7 +54,7 @@
 
     /** Handles the end of an attempt: closes its request, retries it, or answers it without a response from a host. */
     void ended(double now, PendingRequest request, AttemptResult result) {
-        Attempt attempt = request.attempt(result.attempt());
+        Attempt attempt = request.attempt(result.attemptNumber());
         if (attempt == null || !attempt.isOpen()) return;
         attempt.end(result.outcome());
         outstanding.end(attempt);
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -89,8 +89,8 @@
         OutstandingAttempts outstanding = new OutstandingAttempts(limit, loadBalancer, stalls);
         AttemptDispatcher dispatcher = new AttemptDispatcher(actions, loadBalancer, outstanding, retries);
         FairScheduler<PendingRequest, Endpoint> scheduler = new FairScheduler<>(classes.all(), limit, dispatcher);
-        boolean chargesTrueUnits = settings.coordination().postPaid();
-        AttemptFeedback feedback = new AttemptFeedback(loadBalancer, limit, overdueShare, control, chargesTrueUnits);
+        boolean chargesActualUnits = settings.coordination().postPaid();
+        AttemptFeedback feedback = new AttemptFeedback(loadBalancer, limit, overdueShare, control, chargesActualUnits);
         requests = new RequestLifecycle(
                 actions, settings.limits(), pending, scheduler, limit, loadBalancer, gossip, overdueShare);
         attempts = new AttemptLifecycle(actions, requests, outstanding, retries, feedback, loadBalancer);
@@ -116,9 +116,9 @@
     }
 
     @Override
-    public void requestCompleted(double now, String id, double deadlineAtMs) {
+    public void requestBodyCompleted(double now, String id, double deadlineAtMs) {
         PendingRequest request = pending.find(id);
-        if (request != null) attempts.requestCompleted(now, request, deadlineAtMs);
+        if (request != null) attempts.requestBodyCompleted(now, request, deadlineAtMs);
     }
 
     @Override
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -155,11 +155,12 @@
     /**
      * Records the meter's figure that arrived with the response to a request.
      *
-     * @param usedPercent percentage of the customer's quota that all gateways use, plus 1; 0 if nothing was reported
+     * @param usedPercentPlusOne percentage of the customer's quota that all gateways use, plus 1; 0 if nothing was
+     *     reported
      */
-    public void meterReported(double now, CustomerQuota quota, QuotaRequest request, int usedPercent) {
-        if (usedPercent <= 0 || !usesMeter) return;
-        double useMultiple = (usedPercent - 1) / 100.0;
+    public void meterReported(double now, CustomerQuota quota, QuotaRequest request, int usedPercentPlusOne) {
+        if (usedPercentPlusOne <= 0 || !usesMeter) return;
+        double useMultiple = (usedPercentPlusOne - 1) / 100.0;
         AdmissionOdds odds = odds(quota, request);
         if (odds.isUnknown(quota.meter().ageMs(now))) odds.learn(now, request.units(), useMultiple);
         if (quota.hasRate()) {
--- a/src/main/java/caperrudder/scale/SimulatedFleet.java
+++ b/src/main/java/caperrudder/scale/SimulatedFleet.java
@@ -188,10 +188,10 @@
             costs.requestServed();
         }
         double[] loadReport = responded ? loadReport(discovery.host(host)) : new double[0];
-        int quotaUsedPercent = responded ? tenants.quotaUsedPercent(request.tenant(), clock.nowMs()) : 0;
+        int quotaUsedPercentPlusOne = responded ? tenants.quotaUsedPercentPlusOne(request.tenant(), clock.nowMs()) : 0;
         double latencyMs = clock.nowMs() - sentAtMs;
         AttemptResult result = new AttemptResult(
-                id, attempt, host, outcome, latencyMs, request.isClosed(), quotaUsedPercent, 0, loadReport);
+                id, attempt, host, outcome, latencyMs, request.isClosed(), quotaUsedPercentPlusOne, 0, loadReport);
         gateway.deliver(costs.responses(), policy -> policy.attemptEnded(clock.nowMs(), result));
         request.addLastEvent();
         forgetIfOver(request);
--- a/src/main/java/caperrudder/scale/Tenants.java
+++ b/src/main/java/caperrudder/scale/Tenants.java
@@ -72,7 +72,7 @@
     }
 
     /** What the meter reports now, in percent of the plan's rate and plus 1. */
-    int quotaUsedPercent(int tenant, double nowMs) {
+    int quotaUsedPercentPlusOne(int tenant, double nowMs) {
         enterPeriod(tenant, nowMs);
         return 1
                 + (int) (100 * unitsInPeriodBefore[tenant] / plan(tenant).unitsPerSecond() / PERIOD_MS * MS_PER_SECOND);
--- a/src/main/java/caperrudder/server/PolicyActionExecutor.java
+++ b/src/main/java/caperrudder/server/PolicyActionExecutor.java
@@ -64,7 +64,7 @@
     /** There is no counter on these sockets, so a call can't get through. */
     @Override
     public void addToCounter(String counter, double amount, double lifetimeMs) {
-        policy.post((now, p) -> p.counterUpdated(now, counter, Outcome.CONNECT_FAILED, 0));
+        policy.post((now, p) -> p.counterCallEnded(now, counter, Outcome.CONNECT_FAILED, 0));
     }
 
     /** Discovery is always watched. */
--- a/src/main/java/caperrudder/server/RequestDispatcher.java
+++ b/src/main/java/caperrudder/server/RequestDispatcher.java
@@ -28,7 +28,7 @@
     private static final Log LOG = Log.of("gateway");
     private static final double[] NO_REPORT = {};
     private static final double NO_RETRY_AFTER = 0;
-    private static final double TRUE_UNITS_NOT_TOLD = 0;
+    private static final double ACTUAL_UNITS_NOT_REPORTED = 0;
 
     private final EventLoopContext eventLoop;
     private final int maxOpen;
@@ -110,7 +110,7 @@
     void completed(OpenRequest request) {
         request.startTime(now() - eventLoop.lag().ms());
         startDeadline(request);
-        policy.post((now, p) -> p.requestCompleted(now, request.id(), request.deadlineAtMs()));
+        policy.post((now, p) -> p.requestBodyCompleted(now, request.id(), request.deadlineAtMs()));
     }
 
     void clientDisconnected(OpenRequest request) {
@@ -236,7 +236,7 @@
         double latencyMs = attempt.latencyMs(now());
         HttpResponse head = attempt.responseHead(response);
         double[] report = head == null ? NO_REPORT : loadReports.read(head);
-        int quotaUsed = head == null ? 0 : LoadReportParser.quotaUsedPercent(head);
+        int quotaUsedPercentPlusOne = head == null ? 0 : LoadReportParser.quotaUsedPercentPlusOne(head);
         policy.post((now, p) -> p.attemptEnded(
                 now,
                 new AttemptResult(
@@ -246,8 +246,8 @@
                         outcome,
                         latencyMs,
                         closed,
-                        quotaUsed,
-                        TRUE_UNITS_NOT_TOLD,
+                        quotaUsedPercentPlusOne,
+                        ACTUAL_UNITS_NOT_REPORTED,
                         report)));
     }
 
--- a/src/main/java/caperrudder/server/admin/MetricsSnapshot.java
+++ b/src/main/java/caperrudder/server/admin/MetricsSnapshot.java
@@ -39,9 +39,9 @@
         appendHeader(text, "app_current", "gauge", "Requests taken and not ended.");
         appendValue(text, "app_current", openRequests);
         appendHeader(text, "app_cluster_size", "gauge", "Hosts in the list.");
-        appendValue(text, "app_cluster_size", cluster.size());
+        appendValue(text, "app_cluster_size", cluster.hostCount());
         appendHeader(text, "app_cluster_unhealthy", "gauge", "Listed hosts that are avoided now.");
-        appendValue(text, "app_cluster_unhealthy", cluster.unhealthy());
+        appendValue(text, "app_cluster_unhealthy", cluster.unhealthyHostCount());
         return text.toString();
     }
 
--- a/src/main/java/caperrudder/server/upstream/LoadReportParser.java
+++ b/src/main/java/caperrudder/server/upstream/LoadReportParser.java
@@ -10,7 +10,7 @@
 public final class LoadReportParser {
     private static final String LOAD_HEADER = "Endpoint-Load-Metrics";
     private static final String QUOTA_USED_HEADER = "X-Quota-Used";
-    private static final int NOT_TOLD = 0;
+    private static final int NOT_REPORTED = 0;
     private static final double[] NO_REPORT = {};
 
     private final List<String> fields;
@@ -26,9 +26,9 @@
     }
 
     /** The customer's metered use as the policy takes it, 1 + percent; 0 where the response tells none. */
-    public static int quotaUsedPercent(HttpResponse response) {
+    public static int quotaUsedPercentPlusOne(HttpResponse response) {
         double percent = HeaderValues.parseNumber(response.headers().get(QUOTA_USED_HEADER), false);
-        return percent < 0 ? NOT_TOLD : 1 + (int) percent;
+        return percent < 0 ? NOT_REPORTED : 1 + (int) percent;
     }
 
     /** The load report of a response; empty where there is none or it can't be read. */
--- a/src/main/java/caperrudder/simulator/EventTranslator.java
+++ b/src/main/java/caperrudder/simulator/EventTranslator.java
@@ -44,7 +44,7 @@
                     fields.getDoubles(SimulatorProtocol.LOAD_REPORT));
             case SimulatorProtocol.FROM_PEER -> policy.peerMessageReceived(
                     nowMs, fields.getInt("neighbour"), fields.getBytes(SimulatorProtocol.CONTENTS));
-            case SimulatorProtocol.COUNTED -> policy.counterUpdated(
+            case SimulatorProtocol.COUNTED -> policy.counterCallEnded(
                     nowMs,
                     fields.getString(SimulatorProtocol.COUNTER),
                     outcome(fields),
--- a/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
@@ -58,7 +58,7 @@
     interface Gateways {
         void requestArrived(double now, Client client);
 
-        void responded(double now, Client client, double latencyMs, int usedPercent);
+        void responded(double now, Client client, double latencyMs, int usedPercentPlusOne);
 
         void clientGaveUp(double now, Client client);
 
@@ -281,7 +281,7 @@
             }
 
             @Override
-            public void responded(double time, Client client, double latencyMs, int usedPercent) {}
+            public void responded(double time, Client client, double latencyMs, int usedPercentPlusOne) {}
 
             @Override
             public void clientGaveUp(double time, Client client) {
@@ -357,11 +357,11 @@
         }
 
         @Override
-        public void responded(double time, Client client, double latencyMs, int usedPercent) {
-            end(client, Outcome.OK, latencyMs, usedPercent);
+        public void responded(double time, Client client, double latencyMs, int usedPercentPlusOne) {
+            end(client, Outcome.OK, latencyMs, usedPercentPlusOne);
         }
 
-        private void end(Client client, Outcome outcome, double latencyMs, int usedPercent) {
+        private void end(Client client, Outcome outcome, double latencyMs, int usedPercentPlusOne) {
             PolicyHarness harness = runTo(client.gateway, now);
             harness.policy.attemptEnded(
                     now,
@@ -372,7 +372,7 @@
                             outcome,
                             latencyMs,
                             outcome == Outcome.OK,
-                            usedPercent,
+                            usedPercentPlusOne,
                             0,
                             new double[0]));
             carryOut(client.gateway);
--- a/src/test/java/caperrudder/policy/QuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/QuotaSimulation.java
@@ -45,7 +45,7 @@
     interface Admission {
         boolean admits(ClientRequest t);
 
-        default void responded(ClientRequest t, double at, int usedPercent) {}
+        default void responded(ClientRequest t, double at, int usedPercentPlusOne) {}
     }
 
     /** Shares of the value that a policy with a view of all first requests would admit. */
@@ -185,10 +185,10 @@
             }
 
             @Override
-            public void responded(ClientRequest t, double at, int usedPercent) {
+            public void responded(ClientRequest t, double at, int usedPercentPlusOne) {
                 PolicyHarness g = fleet.get(t.gateway());
                 g.advanceTo(at);
-                g.endAttempt(ids.get(t), 0, Outcome.OK, responseMs, usedPercent);
+                g.endAttempt(ids.get(t), 0, Outcome.OK, responseMs, usedPercentPlusOne);
             }
         };
     }
--- a/src/test/java/caperrudder/policy/SeededWorld.java
+++ b/src/test/java/caperrudder/policy/SeededWorld.java
@@ -131,7 +131,7 @@
 
         @Override
         public void addToCounter(String counter, double amount, double lifetimeMs) {
-            at(now + NETWORK_MS, () -> meet(p -> p.counterUpdated(now, counter, Outcome.OK, amount)));
+            at(now + NETWORK_MS, () -> meet(p -> p.counterCallEnded(now, counter, Outcome.OK, amount)));
         }
 
         @Override
@@ -412,7 +412,7 @@
         call.process.meet(p -> {
             call.arriving = false;
             call.deadlineAtMs = now + requestClass.clientTimeoutMs();
-            p.requestCompleted(now, call.request.id(), call.deadlineAtMs);
+            p.requestBodyCompleted(now, call.request.id(), call.deadlineAtMs);
             call.attempts.stream().filter(a -> a.out).toList().forEach(this::reach);
         });
     }
@@ -570,7 +570,7 @@
         boolean responded = outcome == Outcome.OK || outcome == Outcome.ERROR;
         double tookMs = now - attempt.sentMs;
         int usedPct = responded && settings.coordination().meterPeriodMs() > 0 ? usedPct(meter, request) : 0;
-        double trueUnits =
+        double actualUnits =
                 responded && settings.coordination().postPaid() ? request.units() * (0.5 + random.nextDouble()) : 0;
         SimulatedEndpoint endpoint = attempt.endpoint;
         double[] report = responded || outcome == Outcome.REJECTED
@@ -586,7 +586,7 @@
                         tookMs,
                         closed,
                         usedPct,
-                        trueUnits,
+                        actualUnits,
                         report)));
     }
 
--- a/src/test/java/caperrudder/policy/SnapshotDecisionsTest.java
+++ b/src/test/java/caperrudder/policy/SnapshotDecisionsTest.java
@@ -46,7 +46,7 @@
             snapshots.addAll(text(snapshot));
             to.policy.restoreSnapshot(world.now(), snapshot);
             ClusterHealth cluster = to.policy.clusterHealth(world.now());
-            snapshots.add("cluster " + cluster.size() + " " + cluster.unhealthy());
+            snapshots.add("cluster " + cluster.hostCount() + " " + cluster.unhealthyHostCount());
         }
 
         String snapshotDigest(String name) {
--- a/src/test/java/caperrudder/policy/WorldSettings.java
+++ b/src/test/java/caperrudder/policy/WorldSettings.java
@@ -58,7 +58,7 @@
                 .with(new CoordinationSettings(false, 0, METER_PERIOD_MS, false, 4, 0, 0, 0, 0));
     }
 
-    /** As with a meter; true units are told with the answers. */
+    /** As with a meter; responses report the actual units. */
     static WorldSettings postPaid(long seed, int gateways) {
         return withMeter(seed, gateways).with(new CoordinationSettings(false, 0, METER_PERIOD_MS, true, 4, 0, 0, 0, 0));
     }
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -182,7 +182,7 @@
                 reference.all.values().stream()
                         .filter(ReferenceTable.KnownHost::listed)
                         .count(),
-                gateway.loadBalancer().clusterHealth(gateway.now()).size());
+                gateway.loadBalancer().clusterHealth(gateway.now()).hostCount());
     }
 
     /** Creates a fleet whose gateways all have the same full list of hosts. */
@@ -272,7 +272,7 @@
         Host gone = new Host("a", "z1", "std", 1, HostState.GONE, 1, 0);
         gateway.hostsUpdated(HostListKind.FULL, List.of(a, gone, host("b", "z1", 1), host("b", "z2", 2)));
         assertEquals(List.of("b"), usableIds(gateway));
-        assertEquals(1, gateway.loadBalancer().clusterHealth(gateway.now()).size());
+        assertEquals(1, gateway.loadBalancer().clusterHealth(gateway.now()).hostCount());
         EndpointTable table = gateway.loadBalancer().table();
         assertEquals(0, table.usableSharing(DeduplicationScope.ZONE, a).size());
         assertEquals(
--- a/src/test/java/caperrudder/scale/SimulatedDiscoveryTest.java
+++ b/src/test/java/caperrudder/scale/SimulatedDiscoveryTest.java
@@ -69,9 +69,9 @@
         Tenants tenants = new Tenants(3, 1, 1, s.plans());
         double rate = tenants.plan(1).unitsPerSecond();
         tenants.use(1, rate / 2, 10_500);
-        assertEquals(1, tenants.quotaUsedPercent(1, 10_900));
-        assertEquals(51, tenants.quotaUsedPercent(1, 11_100));
-        assertEquals(1, tenants.quotaUsedPercent(1, 12_100));
+        assertEquals(1, tenants.quotaUsedPercentPlusOne(1, 10_900));
+        assertEquals(51, tenants.quotaUsedPercentPlusOne(1, 11_100));
+        assertEquals(1, tenants.quotaUsedPercentPlusOne(1, 12_100));
         assertEquals(
                 3,
                 List.of(Tenants.id(0), Tenants.id(1), Tenants.id(2)).stream()
--- a/src/test/java/caperrudder/server/GatewayServerTest.java
+++ b/src/test/java/caperrudder/server/GatewayServerTest.java
@@ -661,7 +661,7 @@
         }
 
         @Override
-        public void requestCompleted(double now, String id, double deadlineAtMs) {}
+        public void requestBodyCompleted(double now, String id, double deadlineAtMs) {}
 
         @Override
         public void requestNotReplayable(double now, String id) {}
@@ -687,7 +687,7 @@
         public void peerMessageReceived(double now, int peer, byte[] data) {}
 
         @Override
-        public void counterUpdated(double now, String counter, Outcome outcome, double total) {}
+        public void counterCallEnded(double now, String counter, Outcome outcome, double total) {}
 
         @Override
         public void restoreSnapshot(double now, PolicySnapshot books) {}
@@ -739,7 +739,7 @@
         for (String id : answers.keySet()) {
             assertNotNull(c.send(view(id, GatewaySocketTest.TIMEOUT_MS)).receive());
             told.add(ended.poll(GatewaySocketTest.TIMEOUT_MS, TimeUnit.MILLISECONDS)
-                    .quotaUsedPercent());
+                    .quotaUsedPercentPlusOne());
         }
         assertEquals(List.of(87, 1, 121, 0, 0), told);
     }
