--- a/src/main/java/caperrudder/api/Plan.java
+++ b/src/main/java/caperrudder/api/Plan.java
@@ -9,8 +9,8 @@
  * @param burstUnits capacity and initial level of the token bucket, in units
  * @param concurrencyLimit maximum number of the customer's concurrent attempts
  * @param valueFactor factor applied to the value of each request
- * @param overQuotaValue share of its value that a request over the quota earns
- * @param overQuotaCost share of its value that a request over the quota costs
+ * @param overQuotaValueShare share of its value that a request over the quota earns
+ * @param overQuotaCostRatio cost of a request over the quota as a multiple of its value
  * @param ceilingUnitsPerSecond refill rate of the ceiling, a second bucket that also limits requests over the quota, in
  *     units per second
  * @param ceilingBurstUnits capacity and initial level of the ceiling, in units
@@ -22,8 +22,8 @@
         double burstUnits,
         int concurrencyLimit,
         double valueFactor,
-        double overQuotaValue,
-        double overQuotaCost,
+        double overQuotaValueShare,
+        double overQuotaCostRatio,
         double ceilingUnitsPerSecond,
         double ceilingBurstUnits,
         double ceilingSlack) {}
--- a/src/main/java/caperrudder/api/RequestClass.java
+++ b/src/main/java/caperrudder/api/RequestClass.java
@@ -12,7 +12,7 @@
  * @param latencyObjectiveMs response time in milliseconds up to which a response earns the full value of its request
  * @param clientTimeoutMs how long a client waits for the response, over all attempts, in milliseconds
  * @param priorityWeight value of a request of one unit, relative to other classes
- * @param lateValue share of its value, from 0 to 1, that a response between objective and deadline earns
+ * @param lateValueShare share of its value, from 0 to 1, that a response between objective and deadline earns
  * @param streaming whether responses are streamed
  */
 public record RequestClass(
@@ -23,5 +23,5 @@
         double latencyObjectiveMs,
         double clientTimeoutMs,
         double priorityWeight,
-        double lateValue,
+        double lateValueShare,
         boolean streaming) {}
--- a/src/main/java/caperrudder/policy/RequestExpiry.java
+++ b/src/main/java/caperrudder/policy/RequestExpiry.java
@@ -33,7 +33,7 @@
         RequestClass spec = request.trafficClass().spec();
         double objectiveMs = spec.latencyObjectiveMs();
         double usefulUntil =
-                spec.lateValue() >= MIN_USEFUL_LATE_VALUE ? latestAt : Math.min(latestAt, arrivedAt + objectiveMs);
+                spec.lateValueShare() >= MIN_USEFUL_LATE_VALUE ? latestAt : Math.min(latestAt, arrivedAt + objectiveMs);
         double queueDelayMs = usefulUntil - arrivedAt - MIN_REMAINING_WORK_MULTIPLE * request.expectedWorkMs();
         return Math.min(latestAt, arrivedAt + Math.max(MIN_QUEUE_DELAY_OBJECTIVE_SHARE * objectiveMs, queueDelayMs));
     }
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -80,7 +80,7 @@
 
     /** Returns whether a request over the quota earns at least what it costs. */
     private static boolean isExcessProfitable(Plan plan) {
-        return plan.overQuotaValue() > 0 && plan.overQuotaValue() >= plan.overQuotaCost();
+        return plan.overQuotaValueShare() > 0 && plan.overQuotaValueShare() >= plan.overQuotaCostRatio();
     }
 
     private boolean concurrencyAdmits(double now, CustomerQuota quota) {
@@ -119,7 +119,7 @@
      */
     private static double reservedUnits(double now, CustomerQuota quota) {
         Plan plan = quota.plan();
-        double netCost = plan.overQuotaCost() - plan.overQuotaValue();
+        double netCost = plan.overQuotaCostRatio() - plan.overQuotaValueShare();
         double unitsPerSecond = quota.demand().others() + UNREPORTED_USE_RATIO * plan.unitsPerSecond();
         double ageMs = quota.ownerReplyAgeMs(now) + OWNER_REPLY_DELAY_MS;
         return unitsPerSecond * ageMs / MS_PER_SECOND * 2 * netCost / (1 + netCost);
--- a/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
@@ -84,7 +84,7 @@
         double figureWeight = Math.exp(-figureAgeMs / figureDecayMs);
         double probability =
                 figureWeight * probabilityAtUse(useMultiple) + (1 - figureWeight) * unknownProbability(now, units);
-        double netExcessCost = plan.overQuotaCost() - plan.overQuotaValue();
+        double netExcessCost = plan.overQuotaCostRatio() - plan.overQuotaValueShare();
         double expectedValue =
                 (1 - probability) * valueShare - probability * netExcessCost - delayCostShare - REJECTED_VALUE_SHARE;
         credit += Math.max(
--- a/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/LoadedQuotaSimulation.java
@@ -208,7 +208,7 @@
             use(client).retry(now);
         } else {
             client.inside = use(client).take(now, client.first.units());
-            if (!client.inside) cost += client.value() * client.first.plan().overQuotaCost();
+            if (!client.inside) cost += client.value() * client.first.plan().overQuotaCostRatio();
         }
         hosts.begin(host, now, client.id, client.workMs + NETWORK_MS);
         awaitNext(host);
--- a/src/test/java/caperrudder/policy/MeteredFleetTest.java
+++ b/src/test/java/caperrudder/policy/MeteredFleetTest.java
@@ -103,7 +103,7 @@
         if (!in) {
             t.rejectedWithCapacity += hasCapacity ? 1 : 0;
         } else if (!s.take(of.at())) {
-            t.cost += of.plan().overQuotaCost();
+            t.cost += of.plan().overQuotaCostRatio();
         }
     }
 
--- a/src/test/java/caperrudder/policy/QuotaSimulation.java
+++ b/src/test/java/caperrudder/policy/QuotaSimulation.java
@@ -110,7 +110,7 @@
             boolean hasCapacity = use(t).isHalfUnused(t.at(), t.units());
             if (policy.admits(t)) {
                 if (use(t).take(t.at(), t.units())) served += t.value();
-                else cost += t.value() * t.plan().overQuotaCost();
+                else cost += t.value() * t.plan().overQuotaCostRatio();
                 ends.add(new End(t.at() + responseMs, t));
                 continue;
             }
