--- a/src/main/java/caperrudder/simulator/ActionWriter.java
+++ b/src/main/java/caperrudder/simulator/ActionWriter.java
@@ -52,7 +52,7 @@
     public void startTimer(double delayMs, String token) {
         line(SimulatorProtocol.TIMER)
                 .field("in_ms", formatDecimal(delayMs))
-                .field(SimulatorProtocol.COOKIE, token)
+                .field(SimulatorProtocol.TIMER_TOKEN, token)
                 .endLine();
     }
 
@@ -67,7 +67,7 @@
     public void sendToPeer(int peer, byte[] data) {
         line(SimulatorProtocol.NOTIFY)
                 .field("dest", peer)
-                .field(SimulatorProtocol.CONTENTS, formatHex(data))
+                .field(SimulatorProtocol.PEER_MESSAGE, formatHex(data))
                 .endLine();
     }
 
@@ -86,11 +86,11 @@
     }
 
     private BatchReply line(String name) {
-        return reply.action(instance, name);
+        return reply.beginAction(instance, name);
     }
 
     private static String formatHex(byte[] data) {
-        return data.length == 0 ? SimulatorProtocol.NO_BYTES : HexFormat.of().formatHex(data);
+        return data.length == 0 ? SimulatorProtocol.EMPTY_BYTES : HexFormat.of().formatHex(data);
     }
 
     /** Formats a number with three decimals, because the simulator counts microseconds, and without an exponent. */
--- a/src/main/java/caperrudder/simulator/BatchReply.java
+++ b/src/main/java/caperrudder/simulator/BatchReply.java
@@ -17,7 +17,7 @@
     }
 
     /** Starts the line of an action, preceded by an {@code AT} line if the last action was of another instance. */
-    BatchReply action(long instance, String name) {
+    BatchReply beginAction(long instance, String name) {
         if (currentInstance != instance) {
             text.append(SimulatorProtocol.AT);
             field(SimulatorProtocol.GATEWAY_ID, instance).endLine();
@@ -50,7 +50,7 @@
     }
 
     /** Ends the reply and returns it. The result is valid until the next call of {@link #begin()}. */
-    CharSequence end(long turn) {
+    CharSequence finish(long turn) {
         text.append(SimulatorProtocol.YIELD);
         field(SimulatorProtocol.TURN, turn).endLine();
         return text;
--- a/src/main/java/caperrudder/simulator/EventTranslator.java
+++ b/src/main/java/caperrudder/simulator/EventTranslator.java
@@ -35,7 +35,7 @@
             case SimulatorProtocol.COMPLETED -> policy.attemptEnded(nowMs, attemptResult(fields));
             case SimulatorProtocol.VANISHED -> policy.clientDisconnected(
                     nowMs, fields.getString(SimulatorProtocol.OPERATION_ID));
-            case SimulatorProtocol.DUE -> policy.timerFired(nowMs, fields.getString(SimulatorProtocol.COOKIE));
+            case SimulatorProtocol.DUE -> policy.timerFired(nowMs, fields.getString(SimulatorProtocol.TIMER_TOKEN));
             case SimulatorProtocol.PROBE_RESULT -> policy.healthCheckEnded(
                     nowMs,
                     fields.getString(SimulatorProtocol.HOST_ID),
@@ -43,7 +43,7 @@
                     fields.getDouble(SimulatorProtocol.LATENCY_MS, 0),
                     fields.getDoubles(SimulatorProtocol.LOAD_REPORT));
             case SimulatorProtocol.FROM_PEER -> policy.peerMessageReceived(
-                    nowMs, fields.getInt("neighbour"), fields.getBytes(SimulatorProtocol.CONTENTS));
+                    nowMs, fields.getInt("neighbour"), fields.getBytes(SimulatorProtocol.PEER_MESSAGE));
             case SimulatorProtocol.COUNTED -> policy.counterCallEnded(
                     nowMs,
                     fields.getString(SimulatorProtocol.COUNTER),
@@ -58,8 +58,9 @@
 
     private void hostsUpdated(PolicyEvents policy, double nowMs, FieldValues fields) {
         HostListKind kind = hostListKind(fields);
-        List<Host> hosts =
-                kind == HostListKind.FAILED ? List.of() : catalog.page(fields.getInt(SimulatorProtocol.PAGE));
+        List<Host> hosts = kind == HostListKind.FAILED
+                ? List.of()
+                : catalog.hostsOfPage(fields.getInt(SimulatorProtocol.HOST_PAGE));
         policy.hostsUpdated(nowMs, kind, hosts);
     }
 
--- a/src/main/java/caperrudder/simulator/HostCatalog.java
+++ b/src/main/java/caperrudder/simulator/HostCatalog.java
@@ -20,12 +20,12 @@
     /** Reads a page from the reader, whose current line must be its {@code CATALOG} line, up to its last host. */
     void readPage(MessageReader reader) throws IOException {
         FieldValues header = reader.fields();
-        int page = header.getInt(SimulatorProtocol.PAGE);
+        int page = header.getInt(SimulatorProtocol.HOST_PAGE);
         int size = header.getInt("members");
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            if (!reader.next() || !reader.name().equals(SimulatorProtocol.HOST)) {
-                throw reader.error("expected " + size + " HOST lines, found " + i);
+            if (!reader.readNextLine() || !reader.messageName().equals(SimulatorProtocol.HOST)) {
+                throw reader.malformedLine("expected " + size + " HOST lines, found " + i);
             }
             hosts.add(host(reader.fields()));
         }
@@ -37,10 +37,10 @@
      *
      * @throws FieldException if the page has not been sent
      */
-    List<Host> page(int page) {
+    List<Host> hostsOfPage(int page) {
         List<Host> hosts = pages.get(page);
         if (hosts == null) {
-            throw new FieldException(SimulatorProtocol.PAGE, "no CATALOG with page " + page);
+            throw new FieldException(SimulatorProtocol.HOST_PAGE, "no CATALOG with page " + page);
         }
         return hosts;
     }
--- a/src/main/java/caperrudder/simulator/MessageReader.java
+++ b/src/main/java/caperrudder/simulator/MessageReader.java
@@ -17,7 +17,7 @@
     }
 
     /** Advances to the next line and returns whether there is one. The end of the input is counted as a line. */
-    boolean next() throws IOException {
+    boolean readNextLine() throws IOException {
         line = input.readLine();
         lineNumber++;
         return line != null;
@@ -29,12 +29,12 @@
     }
 
     /** Returns whether the current line is empty. */
-    boolean isBlank() {
+    boolean isLineEmpty() {
         return line.isEmpty();
     }
 
     /** Returns the name of the message on the current line. */
-    String name() {
+    String messageName() {
         int fieldSeparator = line.indexOf(SimulatorProtocol.FIELD_SEPARATOR);
         return fieldSeparator < 0 ? line : line.substring(0, fieldSeparator);
     }
@@ -50,7 +50,7 @@
     }
 
     /** Creates an exception for the current line. */
-    WireFormatException error(String problem) {
+    WireFormatException malformedLine(String problem) {
         return new WireFormatException(lineNumber, problem);
     }
 
@@ -62,7 +62,7 @@
             int end = fieldSeparator < 0 ? text.length() : fieldSeparator;
             int valueSeparator = text.indexOf(SimulatorProtocol.VALUE_SEPARATOR, start);
             if (valueSeparator <= start || valueSeparator >= end) {
-                throw error("not a name=value pair: '" + text.substring(start, end) + "'");
+                throw malformedLine("not a name=value pair: '" + text.substring(start, end) + "'");
             }
             values.put(text.substring(start, valueSeparator), text.substring(valueSeparator + 1, end));
             start = end + 1;
--- a/src/main/java/caperrudder/simulator/SimulatorAdapter.java
+++ b/src/main/java/caperrudder/simulator/SimulatorAdapter.java
@@ -37,8 +37,8 @@
      */
     void run() throws IOException {
         try {
-            while (reader.next()) {
-                if (!reader.isBlank()) {
+            while (reader.readNextLine()) {
+                if (!reader.isLineEmpty()) {
                     processBatch();
                 }
             }
@@ -48,25 +48,25 @@
     }
 
     private void processBatch() throws IOException {
-        if (!reader.name().equals(SimulatorProtocol.BEGIN_BATCH)) {
-            throw reader.error("expected BEGIN_BATCH, found '" + reader.name() + "'");
+        if (!reader.messageName().equals(SimulatorProtocol.BEGIN_BATCH)) {
+            throw reader.malformedLine("expected BEGIN_BATCH, found '" + reader.messageName() + "'");
         }
         FieldValues header = reader.fields();
         double nowMs = header.getDouble("moment_ms");
         long turn = header.getLong(SimulatorProtocol.TURN);
         reply.begin();
         processMessages(nowMs);
-        output.append(reply.end(turn));
+        output.append(reply.finish(turn));
         output.flush();
     }
 
     private void processMessages(double nowMs) throws IOException {
         long instance = NO_INSTANCE;
         while (true) {
-            if (!reader.next()) {
-                throw reader.error("input ended inside a batch");
+            if (!reader.readNextLine()) {
+                throw reader.malformedLine("input ended inside a batch");
             }
-            String name = reader.name();
+            String name = reader.messageName();
             switch (name) {
                 case SimulatorProtocol.COMMIT -> {
                     return;
@@ -81,7 +81,7 @@
 
     private void processMessage(double nowMs, long instance, String name) {
         if (instance == NO_INSTANCE) {
-            throw reader.error("'" + name + "' before any TARGET_INSTANCE");
+            throw reader.malformedLine("'" + name + "' before any TARGET_INSTANCE");
         }
         FieldValues fields = reader.fields();
         switch (name) {
@@ -100,10 +100,10 @@
     private void deliver(double nowMs, long instance, String name, FieldValues fields) {
         TrafficPolicy policy = policies.get(instance);
         if (policy == null) {
-            throw reader.error("'" + name + "' for an instance that was not started: " + instance);
+            throw reader.malformedLine("'" + name + "' for an instance that was not started: " + instance);
         }
         if (!translator.deliver(policy, nowMs, name, fields)) {
-            throw reader.error("unknown message '" + name + "'");
+            throw reader.malformedLine("unknown message '" + name + "'");
         }
     }
 }
--- a/src/main/java/caperrudder/simulator/SimulatorProtocol.java
+++ b/src/main/java/caperrudder/simulator/SimulatorProtocol.java
@@ -9,7 +9,7 @@
     static final char VALUE_SEPARATOR = '=';
 
     /** The value that represents an empty array of bytes. */
-    static final String NO_BYTES = "-";
+    static final String EMPTY_BYTES = "-";
 
     // Begin, instance and end of a batch, and instance and end of its reply
     static final String BEGIN_BATCH = "BEGIN_BATCH";
@@ -49,15 +49,15 @@
     // Fields that occur in several messages
     static final String GATEWAY_ID = "gateway_id";
     static final String TURN = "turn";
-    static final String PAGE = "page";
+    static final String HOST_PAGE = "page";
     static final String OPERATION_ID = "op_id";
     static final String ATTEMPT = "hop";
     static final String HOST_ID = "host";
     static final String REASON = "reason";
     static final String LATENCY_MS = "cost_time_ms";
     static final String LOAD_REPORT = "health_info";
-    static final String COOKIE = "cookie";
-    static final String CONTENTS = "contents";
+    static final String TIMER_TOKEN = "cookie";
+    static final String PEER_MESSAGE = "contents";
     static final String COUNTER = "counter";
 
     private SimulatorProtocol() {}
