--- a/src/main/java/caperrudder/policy/AttemptFeedback.java
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -38,7 +38,7 @@
         if (result.outcome() == Outcome.OK) recordServed(now, request, result);
         if (result.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
         if (request.quota() != null) {
-            admission.meterReported(now, request.quota(), request, result.quotaUsedPercentPlusOne());
+            admission.recordMeteredUse(now, request.quota(), request, result.quotaUsedPercentPlusOne());
         }
     }
 
--- a/src/main/java/caperrudder/policy/RequestAdmission.java
+++ b/src/main/java/caperrudder/policy/RequestAdmission.java
@@ -5,7 +5,7 @@
 import caperrudder.policy.gossip.QuotaApplicant;
 import caperrudder.policy.gossip.QuotaGossip;
 import caperrudder.policy.quota.AdmissionControl;
-import caperrudder.policy.quota.AdmissionVerdict;
+import caperrudder.policy.quota.AdmissionDecision;
 import caperrudder.policy.quota.CustomerQuota;
 import caperrudder.policy.quota.QuotaTable;
 import caperrudder.policy.scheduling.TrafficClass;
@@ -61,10 +61,10 @@
         return quotas.findOrCreate(now, received.customer(), plan, received.firstReplica(), received.replicaCount());
     }
 
-    private AdmissionVerdict evaluate(double now, PendingRequest request, boolean planKnown) {
+    private AdmissionDecision evaluate(double now, PendingRequest request, boolean planKnown) {
         if (request.quota() != null) return admission.evaluate(now, request.quota(), request);
         // A customer of a known plan has no quota only if the quota table is full.
-        return planKnown ? AdmissionVerdict.REJECT : AdmissionVerdict.ADMIT;
+        return planKnown ? AdmissionDecision.REJECT : AdmissionDecision.ADMIT;
     }
 
     private void askOwner(double now, PendingRequest request) {
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -136,7 +136,7 @@
 
         private OptionalDouble knownFillRatio(double now, CustomerQuota quota) {
             boolean isFresh = ownership.decidesLocally(now, quota)
-                    || quota.ownerReplyAgeMs(now) < AdmissionControl.REPLY_FRESH_MS;
+                    || quota.ownerReplyAgeMs(now) < AdmissionControl.OWNER_REPLY_STALE_MS;
             return isFresh ? OptionalDouble.of(quota.fullness()) : OptionalDouble.empty();
         }
 
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -13,7 +13,7 @@
  */
 public final class AdmissionControl {
     /** An owner's reply of this age or older no longer allows admission without asking the owner. */
-    public static final double REPLY_FRESH_MS = 1000;
+    public static final double OWNER_REPLY_STALE_MS = 1000;
 
     /** Age of the figures in an owner's reply on arrival: half the interval between replies and the transit time. */
     private static final double OWNER_REPLY_DELAY_MS = 60;
@@ -32,8 +32,8 @@
     private final OwnerLocator owners;
     private final RejectionListener rejections;
     private final DoubleSupplier overdueShare;
-    private final Map<Integer, AdmissionOdds> firstRequestOddsByPlan = new HashMap<>();
-    private final Map<Integer, AdmissionOdds> clientRetryOddsByPlan = new HashMap<>();
+    private final Map<Integer, ExpectedValueAdmission> firstRequestAdmissionByPlan = new HashMap<>();
+    private final Map<Integer, ExpectedValueAdmission> clientRetryAdmissionByPlan = new HashMap<>();
 
     /** @param overdueShare supplies the share, 0 to 1, of recently admitted requests that were served late */
     public AdmissionControl(
@@ -58,24 +58,24 @@
      *
      * @param quota the customer's quota, refilled up to {@code now}
      */
-    public AdmissionVerdict evaluate(double now, CustomerQuota quota, QuotaRequest request) {
+    public AdmissionDecision evaluate(double now, CustomerQuota quota, QuotaRequest request) {
         double units = request.units();
         quota.demand().addOwn(DemandEstimate.perSecond(units));
         boolean excessProfitable = isExcessProfitable(quota.plan());
         boolean rateLimited = quota.hasRate() && !excessProfitable;
         if ((!excessProfitable && !concurrencyAdmits(now, quota)) || (rateLimited && !quota.sharedHolds(units))) {
             rejections.quotaExhausted(now, quota);
-            return AdmissionVerdict.REJECT;
+            return AdmissionDecision.REJECT;
         }
         boolean singleReplica = quota.replicaCount() == 1;
         if (!excessProfitable && usesMeter && !singleReplica && !isWorthAdmitting(now, quota, request)) {
-            return AdmissionVerdict.REJECT;
+            return AdmissionDecision.REJECT;
         }
         boolean canAskOwner = usesPeerMessages && !singleReplica;
         boolean withinRate = !rateLimited || hasCapacity(now, quota, units, canAskOwner);
         // This gateway spends its own share of the ceiling without asking an owner (rule 5).
-        if (withinRate && quota.ceilingAdmits(units)) return AdmissionVerdict.ADMIT;
-        return canAskOwner ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REJECT;
+        if (withinRate && quota.ceilingAdmits(units)) return AdmissionDecision.ADMIT;
+        return canAskOwner ? AdmissionDecision.ASK_OWNER : AdmissionDecision.REJECT;
     }
 
     /** Returns whether a request over the quota earns at least what it costs. */
@@ -100,7 +100,7 @@
     }
 
     private static boolean isReplyFresh(double now, CustomerQuota quota) {
-        return quota.ownerReplyAgeMs(now) < REPLY_FRESH_MS;
+        return quota.ownerReplyAgeMs(now) < OWNER_REPLY_STALE_MS;
     }
 
     private boolean hasCapacity(double now, CustomerQuota quota, double units, boolean canAskOwner) {
@@ -132,7 +132,7 @@
     private boolean isWorthAdmitting(double now, CustomerQuota quota, QuotaRequest request) {
         double delayCostShare = DELAYED_REQUESTS_PER_ADMISSION * overdueShare.getAsDouble();
         MeteredUse meter = quota.meter();
-        return odds(quota, request)
+        return expectedValueAdmission(quota, request)
                 .admits(
                         now,
                         request.units(),
@@ -143,13 +143,14 @@
     }
 
     /**
-     * Returns the estimate for the request's plan. Requests that a client marked as a retry have an estimate of their
-     * own, because a customer whose request was rejected is more often over its quota.
+     * Returns the admission for the request's plan. Requests that a client marked as a retry have one of their own,
+     * because a customer whose request was rejected is more often over its quota.
      */
-    private AdmissionOdds odds(CustomerQuota quota, QuotaRequest request) {
-        Map<Integer, AdmissionOdds> oddsByPlan =
-                request.isClientRetry() ? clientRetryOddsByPlan : firstRequestOddsByPlan;
-        return oddsByPlan.computeIfAbsent(quota.planNumber(), number -> new AdmissionOdds(quota.plan(), meterPeriodMs));
+    private ExpectedValueAdmission expectedValueAdmission(CustomerQuota quota, QuotaRequest request) {
+        Map<Integer, ExpectedValueAdmission> admissionByPlan =
+                request.isClientRetry() ? clientRetryAdmissionByPlan : firstRequestAdmissionByPlan;
+        return admissionByPlan.computeIfAbsent(
+                quota.planNumber(), number -> new ExpectedValueAdmission(quota.plan(), meterPeriodMs));
     }
 
     /**
@@ -158,11 +159,13 @@
      * @param usedPercentPlusOne percentage of the customer's quota that all gateways use, plus 1; 0 if nothing was
      *     reported
      */
-    public void meterReported(double now, CustomerQuota quota, QuotaRequest request, int usedPercentPlusOne) {
+    public void recordMeteredUse(double now, CustomerQuota quota, QuotaRequest request, int usedPercentPlusOne) {
         if (usedPercentPlusOne <= 0 || !usesMeter) return;
         double useMultiple = (usedPercentPlusOne - 1) / 100.0;
-        AdmissionOdds odds = odds(quota, request);
-        if (odds.isUnknown(quota.meter().ageMs(now))) odds.learn(now, request.units(), useMultiple);
+        ExpectedValueAdmission admission = expectedValueAdmission(quota, request);
+        if (admission.isCustomerUnknown(quota.meter().ageMs(now))) {
+            admission.recordResponse(now, request.units(), useMultiple);
+        }
         if (quota.hasRate()) {
             quota.meter().reportedRate(now, useMultiple, quota.demand().own());
             return;
--- a/src/main/java/caperrudder/policy/quota/AdmissionVerdict.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionDecision.java
@@ -1,7 +1,7 @@
 package caperrudder.policy.quota;
 
 /** The decision on a request that this gateway makes from its own knowledge. */
-public enum AdmissionVerdict {
+public enum AdmissionDecision {
     /** The request is within what this gateway may admit by itself. */
     ADMIT,
     /** The request is over the quota, or too likely over it to be worth admitting. */
--- a/src/main/java/caperrudder/policy/quota/AdmissionOdds.java
+++ b/src/main/java/caperrudder/policy/quota/ExpectedValueAdmission.java
@@ -9,7 +9,7 @@
  *
  * <p>Not thread-safe.
  */
-final class AdmissionOdds {
+final class ExpectedValueAdmission {
     /** Lower bound of the weight that one response has in the estimate of the plan. */
     private static final double MIN_LEARNING_RATE = 0.05;
     /** Responses within the quota that are assumed before the first response. */
@@ -39,7 +39,7 @@
     private int responses;
     private double credit = INITIAL_CREDIT; // sum of the shares of requests to admit; each admission takes 1
 
-    AdmissionOdds(Plan plan, double meterPeriodMs) {
+    ExpectedValueAdmission(Plan plan, double meterPeriodMs) {
         this.plan = plan;
         this.figureDecayMs = FIGURE_DECAY_METER_PERIODS * meterPeriodMs;
     }
@@ -48,7 +48,7 @@
      * Returns whether the meter's last figure of a customer is so old that the customer counts as unknown, and its next
      * response counts for the estimate of the plan.
      */
-    boolean isUnknown(double figureAgeMs) {
+    boolean isCustomerUnknown(double figureAgeMs) {
         return figureAgeMs > figureDecayMs;
     }
 
@@ -57,7 +57,7 @@
      *
      * @param useMultiple metered use of all gateways as a multiple of the customer's quota
      */
-    void learn(double now, double units, double useMultiple) {
+    void recordResponse(double now, double units, double useMultiple) {
         double learningRate = Math.max(MIN_LEARNING_RATE, 1 / (PRIOR_RESPONSES + ++responses));
         double previous = decayedProbability(now);
         overQuotaProbability = previous + learningRate * (probabilityAtUse(useMultiple) - previous);
