--- a/src/main/java/caperrudder/policy/gossip/ReplicaState.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicaState.java
@@ -54,7 +54,7 @@
 
     /** Returns the units per second demanded at the replica, decayed since its last report. */
     double demandPerSecond(double now) {
-        return demandPerSecond * DemandEstimate.fadeOver(now - demandReportedAtMs);
+        return demandPerSecond * DemandEstimate.decayFactor(now - demandReportedAtMs);
     }
 
     /** Records the reported demand of the replica. */
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -60,7 +60,7 @@
      */
     public AdmissionDecision evaluate(double now, CustomerQuota quota, QuotaRequest request) {
         double units = request.units();
-        quota.demand().addOwn(DemandEstimate.perSecond(units));
+        quota.demand().addOwnPerSecond(DemandEstimate.rateIncrease(units));
         boolean excessProfitable = isExcessProfitable(quota.plan());
         boolean rateLimited = quota.hasRate() && !excessProfitable;
         if ((!excessProfitable && !concurrencyAdmits(now, quota)) || (rateLimited && !quota.sharedHolds(units))) {
@@ -86,7 +86,7 @@
     private boolean concurrencyAdmits(double now, CustomerQuota quota) {
         ConcurrencyQuota concurrency = quota.concurrency();
         if (!concurrency.isLimited()) return true;
-        if (!concurrency.isNextDue(now)) return false;
+        if (!concurrency.isNextAdmissionDue(now)) return false;
         return isPeerConcurrencyKnown(now, quota)
                 ? concurrency.fitsTotal()
                 : concurrency.fitsShare(shares.of(now, quota));
@@ -95,7 +95,7 @@
     /** Returns whether the number of requests open at other gateways is recent enough to be counted. */
     private boolean isPeerConcurrencyKnown(double now, CustomerQuota quota) {
         if (quota.replicaCount() == 1) return true;
-        if (!usesPeerMessages) return quota.concurrency().isPeakValid(now);
+        if (!usesPeerMessages) return quota.concurrency().isMeteredPeakValid(now);
         return owners.decidesLocally(now, quota) || isReplyFresh(now, quota);
     }
 
@@ -120,7 +120,7 @@
     private static double reservedUnits(double now, CustomerQuota quota) {
         Plan plan = quota.plan();
         double netCost = plan.overQuotaCostRatio() - plan.overQuotaValueShare();
-        double unitsPerSecond = quota.demand().others() + UNREPORTED_USE_RATIO * plan.unitsPerSecond();
+        double unitsPerSecond = quota.demand().peersPerSecond() + UNREPORTED_USE_RATIO * plan.unitsPerSecond();
         double ageMs = quota.ownerReplyAgeMs(now) + OWNER_REPLY_DELAY_MS;
         return unitsPerSecond * ageMs / MS_PER_SECOND * 2 * netCost / (1 + netCost);
     }
@@ -167,11 +167,11 @@
             admission.recordResponse(now, request.units(), useMultiple);
         }
         if (quota.hasRate()) {
-            quota.meter().reportedRate(now, useMultiple, quota.demand().own());
+            quota.meter().recordRate(now, useMultiple, quota.demand().ownPerSecond());
             return;
         }
         table.refill(now, quota); // decays this gateway's recent peak up to now
-        quota.concurrency().meteredPeak(now, useMultiple);
-        quota.meter().reportedPeak(now, useMultiple);
+        quota.concurrency().recordMeteredPeak(now, useMultiple);
+        quota.meter().recordPeak(now, useMultiple);
     }
 }
--- a/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
@@ -16,12 +16,12 @@
     private final int limit;
     private final int replicaCount;
     private final boolean paced;
-    private int open;
-    private int openAtOthers;
+    private int openRequests;
+    private int openAtPeers;
     private double recentPeak; // most requests open here at the same time; decays
     private double admissionIntervalMs; // if each gateway of the set admits one request in it, the limit is in full use
     private double nextAdmissionAt = Double.NEGATIVE_INFINITY;
-    private double peakValidUntil = Double.NEGATIVE_INFINITY;
+    private double meteredPeakValidUntil = Double.NEGATIVE_INFINITY;
 
     /** @param metered whether the meter alone reports the use by other gateways */
     ConcurrencyQuota(Plan plan, int replicaCount, boolean metered) {
@@ -34,26 +34,26 @@
         return limit > 0;
     }
 
-    int open() {
-        return open;
+    int openRequests() {
+        return openRequests;
     }
 
     /** Returns the requests open at other gateways, as last reported. */
-    int openAtOthers() {
-        return openAtOthers;
+    int openAtPeers() {
+        return openAtPeers;
     }
 
-    void setOpenAtOthers(int requests) {
-        openAtOthers = requests;
+    void setOpenAtPeers(int requests) {
+        openAtPeers = requests;
     }
 
     /** Changes the number of requests open at other gateways by {@code requests}, which may be negative. */
-    void addOpenAtOthers(int requests) {
-        openAtOthers += requests;
+    void addOpenAtPeers(int requests) {
+        openAtPeers += requests;
     }
 
-    void fade(double factor) {
-        recentPeak = Math.max(open, recentPeak * factor);
+    void decay(double factor) {
+        recentPeak = Math.max(openRequests, recentPeak * factor);
     }
 
     /**
@@ -64,17 +64,17 @@
      * @param expectedMs time that the request is expected to be open
      */
     void opened(double now, double expectedMs) {
-        recentPeak = Math.max(recentPeak, ++open);
+        recentPeak = Math.max(recentPeak, ++openRequests);
         admissionIntervalMs = paced ? replicaCount * expectedMs / limit : 0;
         nextAdmissionAt = now + ACTIVE_REPLICAS_SHARE * admissionIntervalMs;
     }
 
     void closed() {
-        open--;
+        openRequests--;
     }
 
     /** Returns whether the pace of admissions allows another one now. */
-    boolean isNextDue(double now) {
+    boolean isNextAdmissionDue(double now) {
         return now >= nextAdmissionAt;
     }
 
@@ -84,18 +84,18 @@
     }
 
     /** Returns whether the number of requests open at other gateways, as computed from the meter, is still valid. */
-    boolean isPeakValid(double now) {
-        return now < peakValidUntil;
+    boolean isMeteredPeakValid(double now) {
+        return now < meteredPeakValidUntil;
     }
 
     /** Returns whether one more request fits the limit, counting the requests open at all gateways. */
     boolean fitsTotal() {
-        return open + openAtOthers < limit;
+        return openRequests + openAtPeers < limit;
     }
 
     /** Returns whether one more request fits this gateway's share, 0 to 1, of the limit; the first one always fits. */
     boolean fitsShare(double share) {
-        return open < Math.max(1, (int) (limit * share));
+        return openRequests < Math.max(1, (int) (limit * share));
     }
 
     /**
@@ -103,9 +103,9 @@
      *
      * @param multipleOfLimit most requests recently open at the same time at all gateways, as a multiple of the limit
      */
-    void meteredPeak(double now, double multipleOfLimit) {
+    void recordMeteredPeak(double now, double multipleOfLimit) {
         double peak = multipleOfLimit * limit;
-        openAtOthers = replicaCount == 1 ? 0 : (int) Math.max(0, Math.round(peak - recentPeak));
-        peakValidUntil = now + PEAK_VALID_INTERVALS * admissionIntervalMs;
+        openAtPeers = replicaCount == 1 ? 0 : (int) Math.max(0, Math.round(peak - recentPeak));
+        meteredPeakValidUntil = now + PEAK_VALID_INTERVALS * admissionIntervalMs;
     }
 }
--- a/src/main/java/caperrudder/policy/quota/CustomerQuota.java
+++ b/src/main/java/caperrudder/policy/quota/CustomerQuota.java
@@ -144,11 +144,11 @@
     void refill(double now, double share, double localCapacity) {
         double elapsedMs = now - refilledAt;
         double seconds = elapsedMs / MS_PER_SECOND;
-        double decayFactor = DemandEstimate.fadeOver(elapsedMs);
+        double decayFactor = DemandEstimate.decayFactor(elapsedMs);
         refilledAt = now;
-        demand.fade(decayFactor);
-        meter.fade(decayFactor);
-        concurrency.fade(decayFactor);
+        demand.decay(decayFactor);
+        meter.decay(decayFactor);
+        concurrency.decay(decayFactor);
         shared.refill(plan.unitsPerSecond() * seconds);
         meter.refill(now, seconds);
         local.refill(share * plan.unitsPerSecond() * seconds, localCapacity);
@@ -235,22 +235,22 @@
 
     /** Returns the demand at this gateway in units per second. */
     public double ownDemandPerSecond() {
-        return demand.own();
+        return demand.ownPerSecond();
     }
 
     /** Returns the demand at all gateways in units per second, as last reported. */
     public double totalDemandPerSecond() {
-        return demand.total();
+        return demand.totalPerSecond();
     }
 
     /** Returns the number of requests open at this gateway. */
     public int open() {
-        return concurrency.open();
+        return concurrency.openRequests();
     }
 
     /** Returns the number of requests open at all gateways, as last reported. */
     public int openAnywhere() {
-        return concurrency.open() + concurrency.openAtOthers();
+        return concurrency.openRequests() + concurrency.openAtPeers();
     }
 
     /** Returns the fill ratio of the shared bucket, negative while it has a debt; 1 if the plan has no burst. */
@@ -297,8 +297,8 @@
      * @param sharedLevelUnits level of the shared bucket in units
      */
     public void ownerReplied(double now, double peerDemandPerSecond, int peerOpenRequests, double sharedLevelUnits) {
-        demand.setOthers(peerDemandPerSecond);
-        concurrency.setOpenAtOthers(peerOpenRequests);
+        demand.setPeersPerSecond(peerDemandPerSecond);
+        concurrency.setOpenAtPeers(peerOpenRequests);
         ownerRepliedAt = now;
         earlierUseKnown = true;
         shared.setLevel(sharedLevelUnits);
@@ -306,12 +306,12 @@
 
     /** Replaces the previous demand of a replica by its present demand; called at owners. */
     public void replicaDemandChanged(double newPerSecond, double oldPerSecond) {
-        demand.replaceOthers(newPerSecond, oldPerSecond);
+        demand.replacePeerPerSecond(newPerSecond, oldPerSecond);
     }
 
     /** Adds {@code change}, which may be negative, to the requests open at other gateways; called at owners. */
     public void replicaOpenChanged(int change) {
-        concurrency.addOpenAtOthers(change);
+        concurrency.addOpenAtPeers(change);
     }
 
     /** Books units that a replica used, or refunded if negative; called at owners. */
@@ -355,12 +355,12 @@
                 shared.level(),
                 local.level(),
                 meter.level(),
-                demand.own(),
+                demand.ownPerSecond(),
                 usedUnits,
                 meter.ownPerSecond(),
                 meter.lastShare(),
                 meter.reportedAt(),
-                meter.othersPerSecond());
+                meter.peersPerSecond());
     }
 
     /** Returns whether a snapshot of the predecessor has been restored. */
@@ -377,7 +377,7 @@
     void restore(double now, QuotaSnapshot saved, double usedHere) {
         shared.restore(saved.sharedLevelUnits(), usedHere);
         local.setLevel(Math.min(plan.burstUnits(), saved.localLevelUnits()) - usedHere);
-        demand.addOwn(saved.demandUnitsPerSecond());
+        demand.addOwnPerSecond(saved.demandUnitsPerSecond());
         meter.restore(now, saved, usedHere);
         earlierUseKnown = true;
     }
--- a/src/main/java/caperrudder/policy/quota/DemandEstimate.java
+++ b/src/main/java/caperrudder/policy/quota/DemandEstimate.java
@@ -18,44 +18,44 @@
     DemandEstimate() {}
 
     /** Returns the factor, 0 to 1, by which an average decays over an interval in which nothing is added. */
-    public static double fadeOver(double elapsedMs) {
+    public static double decayFactor(double elapsedMs) {
         return Math.exp(-elapsedMs / TIME_CONSTANT_MS);
     }
 
     /** Returns what {@code units} that are used or requested at once add to an average, in units per second. */
-    static double perSecond(double units) {
+    static double rateIncrease(double units) {
         return units / TIME_CONSTANT_MS * MS_PER_SECOND;
     }
 
     /** Returns the demand at this gateway. */
-    double own() {
+    double ownPerSecond() {
         return ownPerSecond;
     }
 
     /** Returns the demand at the other gateways of the replica set. */
-    double others() {
+    double peersPerSecond() {
         return peersPerSecond;
     }
 
-    double total() {
+    double totalPerSecond() {
         return ownPerSecond + peersPerSecond;
     }
 
-    void fade(double factor) {
+    void decay(double factor) {
         ownPerSecond *= factor;
         peersPerSecond *= factor;
     }
 
-    void addOwn(double unitsPerSecond) {
+    void addOwnPerSecond(double unitsPerSecond) {
         ownPerSecond += unitsPerSecond;
     }
 
-    void setOthers(double unitsPerSecond) {
+    void setPeersPerSecond(double unitsPerSecond) {
         peersPerSecond = unitsPerSecond;
     }
 
     /** Replaces the previous demand of one other gateway by its present demand. */
-    void replaceOthers(double newUnitsPerSecond, double oldUnitsPerSecond) {
+    void replacePeerPerSecond(double newUnitsPerSecond, double oldUnitsPerSecond) {
         peersPerSecond = Math.max(0, peersPerSecond + newUnitsPerSecond - oldUnitsPerSecond);
     }
 }
--- a/src/main/java/caperrudder/policy/quota/DemandShares.java
+++ b/src/main/java/caperrudder/policy/quota/DemandShares.java
@@ -28,6 +28,7 @@
         }
         DemandEstimate demand = quota.demand();
         double prior = EVEN_PRIOR_RATIO * quota.plan().unitsPerSecond();
-        return (demand.own() + prior / replicaCount) / (demand.own() + demand.others() + prior);
+        return (demand.ownPerSecond() + prior / replicaCount)
+                / (demand.ownPerSecond() + demand.peersPerSecond() + prior);
     }
 }
--- a/src/main/java/caperrudder/policy/quota/MeteredUse.java
+++ b/src/main/java/caperrudder/policy/quota/MeteredUse.java
@@ -32,7 +32,7 @@
     private double useMultiple;
     private double reportedAt = Double.NEGATIVE_INFINITY;
     private double totalPerSecond;
-    private double othersPerSecond;
+    private double peersPerSecond;
     private double ownPerSecond;
 
     MeteredUse(Plan plan, int replicaCount) {
@@ -60,7 +60,7 @@
         return 1.0 / replicaCount;
     }
 
-    void fade(double factor) {
+    void decay(double factor) {
         ownPerSecond *= factor;
     }
 
@@ -69,13 +69,13 @@
      * because requests over the quota take no units from the bucket.
      */
     void refill(double now, double seconds) {
-        double peersPerSecond = ageMs(now) < MAX_FIGURE_AGE_MS ? othersPerSecond : 0;
-        bucket.add((plan.unitsPerSecond() - peersPerSecond) * seconds);
+        double recentPeersPerSecond = ageMs(now) < MAX_FIGURE_AGE_MS ? peersPerSecond : 0;
+        bucket.add((plan.unitsPerSecond() - recentPeersPerSecond) * seconds);
     }
 
     void charge(double units) {
         bucket.take(units);
-        ownPerSecond += DemandEstimate.perSecond(units);
+        ownPerSecond += DemandEstimate.rateIncrease(units);
     }
 
     /**
@@ -87,7 +87,7 @@
     boolean admits(double now, double units) {
         double age = ageMs(now);
         if (age < FIGURE_STALE_MS && totalPerSecond > plan.unitsPerSecond()) {
-            return bucket.level() - othersPerSecond * (age + FIGURE_DELAY_MS) / MS_PER_SECOND >= units;
+            return bucket.level() - peersPerSecond * (age + FIGURE_DELAY_MS) / MS_PER_SECOND >= units;
         }
         return bucket.level() >= Math.min(plan.burstUnits(), REQUIRED_LEVEL_PER_UNIT * units);
     }
@@ -96,7 +96,7 @@
      * Records a figure for a plan with a concurrency limit and no rate. This gateway's share cannot be derived from it,
      * so that the even share is used.
      */
-    void reportedPeak(double now, double multipleOfQuota) {
+    void recordPeak(double now, double multipleOfQuota) {
         useMultiple = multipleOfQuota;
         share = evenShare();
         reportedAt = now;
@@ -110,7 +110,7 @@
      * @param multipleOfQuota use by all gateways as a multiple of the plan's rate
      * @param ownDemandPerSecond demand at this gateway
      */
-    void reportedRate(double now, double multipleOfQuota, double ownDemandPerSecond) {
+    void recordRate(double now, double multipleOfQuota, double ownDemandPerSecond) {
         useMultiple = multipleOfQuota;
         double total = multipleOfQuota * plan.unitsPerSecond();
         double ownShare = total > 0 ? Math.min(1, ownPerSecond / total) : evenShare();
@@ -119,7 +119,7 @@
         share = rises ? Math.min(1, Math.max(ownShare, share) + step) : ownShare;
         reportedAt = now;
         totalPerSecond = total;
-        othersPerSecond = Math.max(0, total - ownPerSecond);
+        peersPerSecond = Math.max(0, total - ownPerSecond);
     }
 
     /**
@@ -131,7 +131,7 @@
         bucket.restore(saved.meteredLevelUnits(), usedSince);
         ownPerSecond += saved.usedUnitsPerSecond();
         share = saved.meteredShare();
-        othersPerSecond = saved.meteredPeerUnitsPerSecond();
+        peersPerSecond = saved.meteredPeerUnitsPerSecond();
         totalPerSecond = saved.meteredPeerUnitsPerSecond() + saved.usedUnitsPerSecond();
         useMultiple = plan.unitsPerSecond() > 0 ? totalPerSecond / plan.unitsPerSecond() : 0;
         reportedAt = Math.min(now, saved.lastMeterReportAtMs());
@@ -154,7 +154,7 @@
         return reportedAt;
     }
 
-    double othersPerSecond() {
-        return othersPerSecond;
+    double peersPerSecond() {
+        return peersPerSecond;
     }
 }
--- a/src/test/java/caperrudder/policy/quota/ConcurrencyQuotaTest.java
+++ b/src/test/java/caperrudder/policy/quota/ConcurrencyQuotaTest.java
@@ -20,7 +20,7 @@
         ConcurrencyQuota quota = new ConcurrencyQuota(TWO_OPEN, REPLICAS, false);
         quota.opened(0, EXPECTED_MS);
         assertTrue(quota.fitsTotal());
-        quota.addOpenAtOthers(1);
+        quota.addOpenAtPeers(1);
         assertFalse(quota.fitsTotal());
         quota.closed();
         assertTrue(quota.fitsTotal());
@@ -37,30 +37,30 @@
     void admissionsArePacedIfOnlyTheMeterReportsUse() {
         metered.opened(0, EXPECTED_MS);
         double pauseMs = REPLICAS * EXPECTED_MS / 2 / 4; // a quarter of the set uses the limit of two
-        assertFalse(metered.isNextDue(pauseMs - 1));
-        assertTrue(metered.isNextDue(pauseMs));
+        assertFalse(metered.isNextAdmissionDue(pauseMs - 1));
+        assertTrue(metered.isNextAdmissionDue(pauseMs));
     }
 
     @Test
     void admissionsAreNotPacedIfPeersReportUse() {
         ConcurrencyQuota quota = new ConcurrencyQuota(TWO_OPEN, REPLICAS, false);
         quota.opened(0, EXPECTED_MS);
-        assertTrue(quota.isNextDue(0));
+        assertTrue(quota.isNextAdmissionDue(0));
     }
 
     @Test
     void ownRequestsAreSubtractedFromAMeteredPeak() {
         metered.opened(0, EXPECTED_MS);
-        metered.meteredPeak(0, 1.5);
-        assertEquals(2, metered.openAtOthers());
+        metered.recordMeteredPeak(0, 1.5);
+        assertEquals(2, metered.openAtPeers());
     }
 
     @Test
     void meteredPeakIsValidForOneAndAHalfAdmissionIntervals() {
         metered.opened(0, EXPECTED_MS);
-        metered.meteredPeak(0, 1.5);
+        metered.recordMeteredPeak(0, 1.5);
         double validMs = 1.5 * REPLICAS * EXPECTED_MS / 2;
-        assertTrue(metered.isPeakValid(validMs - 1));
-        assertFalse(metered.isPeakValid(validMs));
+        assertTrue(metered.isMeteredPeakValid(validMs - 1));
+        assertFalse(metered.isMeteredPeakValid(validMs));
     }
 }
--- a/src/test/java/caperrudder/policy/quota/MeteredUseTest.java
+++ b/src/test/java/caperrudder/policy/quota/MeteredUseTest.java
@@ -24,27 +24,27 @@
     @Test
     void shareFollowsThisGatewaysShareOfTheUse() {
         meter.charge(8); // 4 units per second with a time constant of 2 s
-        meter.reportedRate(NOW, 2, 0);
+        meter.recordRate(NOW, 2, 0);
         assertEquals(0.5, meter.share(NOW));
     }
 
     @Test
     void shareRisesAStepIfDemandExceedsItAndTheQuotaHasCapacity() {
         meter.charge(2);
-        meter.reportedRate(NOW, 0.5, 4);
+        meter.recordRate(NOW, 0.5, 4);
         assertEquals(0.55, meter.share(NOW), 1e-9);
     }
 
     @Test
     void shareIsEvenAfterTheFigureExpires() {
         meter.charge(8);
-        meter.reportedRate(NOW, 2, 0);
+        meter.recordRate(NOW, 2, 0);
         assertEquals(EVEN_SHARE, meter.share(NOW + 20_000));
     }
 
     @Test
     void useByOtherGatewaysIsSubtractedIfAFreshFigureIsOverTheRate() {
-        meter.reportedRate(NOW, 2, 0); // 8 units per second, all used by other gateways
+        meter.recordRate(NOW, 2, 0); // 8 units per second, all used by other gateways
         assertTrue(meter.admits(NOW, 1)); // 12 - 8 * 1.3 s
         assertFalse(meter.admits(NOW, 2));
     }
@@ -58,7 +58,7 @@
 
     @Test
     void useByOtherGatewaysDrainsTheBucketBetweenFigures() {
-        meter.reportedRate(NOW, 2, 0);
+        meter.recordRate(NOW, 2, 0);
         meter.refill(NOW, 1);
         assertEquals(8, meter.level());
         meter.refill(NOW, 60);
