--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -54,6 +54,6 @@
     private void recordFirstAttempt(double now, PendingRequest request) {
         retries.noteFirstAttempt();
         request.trafficClass().noteHold(now - request.arrivedAt());
-        if (request.quota() != null) request.quota().sent(request.units());
+        if (request.quota() != null) request.quota().requestSent(request.units());
     }
 }
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -51,7 +51,7 @@
     void admit(double now, PendingRequest request) {
         request.markAdmitted();
         CustomerQuota quota = request.quota();
-        if (quota != null) quota.admitted(now, request.units(), request.expectedWorkMs());
+        if (quota != null) quota.requestAdmitted(now, request.units(), request.expectedWorkMs());
         scheduler.enqueue(request);
         dispatch(now);
         // A request that would expire in the queue is answered at once (rule 1).
@@ -126,9 +126,9 @@
     private void closeQuota(PendingRequest request) {
         if (request.ownerRequest() != null) gossip.withdraw(request.ownerRequest());
         if (!request.isAdmitted()) return;
-        request.quota().closed();
+        request.quota().requestClosed();
         boolean sentCompletely = request.hasAttempts() && !request.isBodyPending();
-        if (!sentCompletely) request.quota().giveBack(request.units());
+        if (!sentCompletely) request.quota().refund(request.units());
     }
 
     /** Forgets a request if it is closed and all of its attempts have ended. */
--- a/src/main/java/caperrudder/policy/gossip/OwnerRequests.java
+++ b/src/main/java/caperrudder/policy/gossip/OwnerRequests.java
@@ -77,7 +77,7 @@
     private void decideLocally(double now, OwnerRequest request, boolean isOwnerKnown) {
         CustomerQuota quota = request.quota();
         withdraw(request);
-        boolean admitted = quota.admitsUndecided(request.units(), isOwnerKnown);
+        boolean admitted = quota.admitsWithoutOwner(request.units(), isOwnerKnown);
         request.applicant().decided(now, admitted);
         replication.changed(now, quota);
     }
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -128,7 +128,7 @@
                     quota.usedUnits(),
                     wantedUnits,
                     quota.ownDemandPerSecond(),
-                    quota.open(),
+                    quota.openRequests(),
                     knownFillRatio(now, quota),
                     wantsReply(now, owner, replicated),
                     !quota.ceilingAdmits(wantedUnits));
@@ -137,7 +137,7 @@
         private OptionalDouble knownFillRatio(double now, CustomerQuota quota) {
             boolean isFresh = ownership.decidesLocally(now, quota)
                     || quota.ownerReplyAgeMs(now) < AdmissionControl.OWNER_REPLY_STALE_MS;
-            return isFresh ? OptionalDouble.of(quota.fullness()) : OptionalDouble.empty();
+            return isFresh ? OptionalDouble.of(quota.fillRatio()) : OptionalDouble.empty();
         }
 
         private boolean wantsReply(double now, PeerState owner, ReplicatedQuota replicated) {
@@ -158,8 +158,8 @@
                     replica.bookedUnits(),
                     replica.grantedUnits(),
                     Math.max(0, quota.totalDemandPerSecond() - replicaDemand),
-                    quota.openAnywhere() - replica.openRequests(),
-                    quota.fullness(),
+                    quota.totalOpenRequests() - replica.openRequests(),
+                    quota.fillRatio(),
                     ownership.isUncertain(now, quota),
                     quota.hasCeiling() ? OptionalDouble.of(replica.ceilingGiven()) : OptionalDouble.empty());
         }
--- a/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
@@ -77,6 +77,6 @@
     boolean isUncertain(double now, CustomerQuota quota) {
         double refilledUnits =
                 (now - startedAtMs) / MS_PER_SECOND * quota.plan().unitsPerSecond();
-        return !quota.isInformed() && refilledUnits < quota.plan().burstUnits();
+        return !quota.isEarlierUseKnown() && refilledUnits < quota.plan().burstUnits();
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
@@ -41,7 +41,7 @@
     ReplicaState replica(PeerState peer) {
         ReplicaState replica = replicas.get(peer.number());
         if (replica == null || replica.incarnation() != peer.incarnation()) {
-            if (replica != null) quota.replicaOpenChanged(-replica.openRequests());
+            if (replica != null) quota.addReplicaOpenRequests(-replica.openRequests());
             replica = new ReplicaState(peer.incarnation());
             replicas.put(peer.number(), replica);
         }
--- a/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
@@ -52,7 +52,7 @@
         if (reply.ceilingUnitsGiven().isEmpty()) return;
         double givenUnits = reply.ceilingUnitsGiven().getAsDouble();
         if (givenUnits <= replica.ceilingTaken()) return;
-        quota.receiveCeiling(givenUnits, replica.ceilingTaken());
+        quota.receiveCeilingUnits(givenUnits, replica.ceilingTaken());
         replica.tookCeiling(givenUnits);
     }
 
--- a/src/main/java/caperrudder/policy/gossip/ReportHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReportHandler.java
@@ -43,7 +43,7 @@
         recordDemand(now, quota, replica, report);
         double newlyUsedUnits = viewAdopted ? 0 : replica.unbookedUnits(report.usedUnits(), maxUnits);
         recordOpenRequests(quota, replica, report);
-        quota.book(newlyUsedUnits);
+        quota.chargeReplicaUse(newlyUsedUnits);
         double grantedUnits = grant(quota, replica, report);
         if (newlyUsedUnits + grantedUnits != 0 && ownership.decidesLocally(now, quota)) replication.changed(now, quota);
         if (report.wantsReply()) outbox.queueReply(peer, replicated);
@@ -63,7 +63,7 @@
         if (report.fullness().isEmpty()) return false;
         boolean uncertain = ownership.isUncertain(now, quota);
         if (!uncertain && ownership.decidingOwner(now, quota, 0) != peer.number()) return false;
-        quota.adoptFullness(report.fullness().getAsDouble(), uncertain);
+        quota.adoptFillRatio(report.fullness().getAsDouble(), uncertain);
         return true;
     }
 
@@ -73,7 +73,7 @@
     }
 
     private static void recordOpenRequests(CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
-        quota.replicaOpenChanged(report.openRequests() - replica.openRequests());
+        quota.addReplicaOpenRequests(report.openRequests() - replica.openRequests());
         replica.openReported(report.openRequests());
     }
 
@@ -88,7 +88,7 @@
         quota.grant(grantedUnits);
         if (isGranted && needsCeiling && report.wantsReply()) {
             // Deducted before the reply is sent: a lost reply loses units rather than creating some.
-            quota.handOverCeiling(wantedUnits);
+            quota.grantCeilingUnits(wantedUnits);
             replica.gaveCeiling(wantedUnits);
         }
         return grantedUnits;
--- a/src/main/java/caperrudder/policy/quota/CeilingBucket.java
+++ b/src/main/java/caperrudder/policy/quota/CeilingBucket.java
@@ -4,7 +4,7 @@
 
 /**
  * This gateway's share of a plan's ceiling, the hard limit that a replica set must not exceed (BENCH, fifth rule).
- * The shares of a replica set sum to one. Each gateway spends only its own share; owners can hand units over to others.
+ * The shares of a replica set sum to one. Each gateway spends only its own share; owners can grant units to others.
  *
  * <p>Not thread-safe.
  */
@@ -57,13 +57,13 @@
     }
 
     /**
-     * Adds units that another gateway handed over. It reports them as a running total.
+     * Adds units that another gateway granted. It reports them as a running total.
      *
-     * @param totalHandedOver units handed over by the other gateway so far
+     * @param totalGranted units granted by the other gateway so far
      * @param alreadyReceived the part of them that this bucket has received before
      */
-    void receive(double totalHandedOver, double alreadyReceived) {
-        level = Math.min(capacity() - unsentUnits, level + totalHandedOver - alreadyReceived);
+    void receive(double totalGranted, double alreadyReceived) {
+        level = Math.min(capacity() - unsentUnits, level + totalGranted - alreadyReceived);
     }
 
     /** Reserves units for an admitted request until it is sent; a negative number refunds those of one never sent. */
@@ -73,12 +73,12 @@
     }
 
     /** Marks reserved units as sent with their request. */
-    void sent(double units) {
+    void markSent(double units) {
         unsentUnits -= units;
     }
 
-    /** Removes units that another gateway receives. */
-    void handOver(double units) {
+    /** Takes units that are granted to another gateway. */
+    void grant(double units) {
         level -= units;
     }
 }
--- a/src/main/java/caperrudder/policy/quota/CustomerQuota.java
+++ b/src/main/java/caperrudder/policy/quota/CustomerQuota.java
@@ -27,12 +27,14 @@
     private final DemandEstimate demand = new DemandEstimate();
     private double refilledAt;
     private double usedUnits; // running total
-    private double restoredUnits = Double.NEGATIVE_INFINITY; // running total of the predecessor that is charged here
+    /** Running total of the predecessor's use that is charged here. */
+    private double chargedPredecessorUnits = Double.NEGATIVE_INFINITY;
+
     private double ownerRepliedAt = Double.NEGATIVE_INFINITY;
     private boolean earlierUseKnown; // as an owner: the shared level reflects use before this gateway started
 
     /** The initial state of a new quota. */
-    record Initial(double localTokens, CeilingBucket ceiling, ConcurrencyQuota concurrency, double now) {}
+    record InitialState(double localTokens, CeilingBucket ceiling, ConcurrencyQuota concurrency, double now) {}
 
     CustomerQuota(
             long customer,
@@ -41,7 +43,7 @@
             int firstReplica,
             int replicaCount,
             int[] owners,
-            Initial initial) {
+            InitialState initial) {
         this.customer = customer;
         this.planNumber = planNumber;
         this.plan = plan;
@@ -127,7 +129,7 @@
     }
 
     /** Moves the time of the last refill back to that of a snapshot, so that the next refill covers the time since. */
-    void lastUsedAt(double at) {
+    void setRefilledAt(double at) {
         refilledAt = at;
     }
 
@@ -162,24 +164,24 @@
      *
      * @param expectedMs time that the request is expected to be open
      */
-    public void admitted(double now, double units, double expectedMs) {
+    public void requestAdmitted(double now, double units, double expectedMs) {
         concurrency.opened(now, expectedMs);
         charge(units);
         ceiling.reserve(units);
     }
 
     /** Marks the units of an admitted request as sent; called when its first attempt is sent to a host. */
-    public void sent(double units) {
-        ceiling.sent(units);
+    public void requestSent(double units) {
+        ceiling.markSent(units);
     }
 
     /** Removes an admitted request that has ended from the open ones. */
-    public void closed() {
+    public void requestClosed() {
         concurrency.closed();
     }
 
     /** Refunds the units of an admitted request that ended before it was completely sent. */
-    public void giveBack(double units) {
+    public void refund(double units) {
         charge(-units);
         ceiling.reserve(-units);
     }
@@ -218,11 +220,11 @@
     /**
      * Returns whether a request may be admitted without an owner's decision.
      *
-     * @param decidesForAll whether this gateway decides for the whole replica set, so that the shared bucket applies;
-     *     otherwise its own share does
+     * @param useSharedBucket whether this gateway decides for the whole replica set, by the shared bucket; otherwise its
+     *     own share decides
      */
-    public boolean admitsUndecided(double units, boolean decidesForAll) {
-        TokenBucket bucket = decidesForAll ? shared : local;
+    public boolean admitsWithoutOwner(double units, boolean useSharedBucket) {
+        TokenBucket bucket = useSharedBucket ? shared : local;
         return (!hasRate() || bucket.level() >= units) && ceiling.admits(units);
     }
 
@@ -244,17 +246,17 @@
     }
 
     /** Returns the number of requests open at this gateway. */
-    public int open() {
+    public int openRequests() {
         return concurrency.openRequests();
     }
 
     /** Returns the number of requests open at all gateways, as last reported. */
-    public int openAnywhere() {
+    public int totalOpenRequests() {
         return concurrency.openRequests() + concurrency.openAtPeers();
     }
 
     /** Returns the fill ratio of the shared bucket, negative while it has a debt; 1 if the plan has no burst. */
-    public double fullness() {
+    public double fillRatio() {
         return plan.burstUnits() > 0 ? shared.level() / plan.burstUnits() : 1;
     }
 
@@ -269,7 +271,7 @@
     }
 
     /** Returns whether this gateway, as an owner, knows what was used before it started. */
-    public boolean isInformed() {
+    public boolean isEarlierUseKnown() {
         return earlierUseKnown;
     }
 
@@ -283,9 +285,9 @@
      *
      * @param onlyIfLower whether a level above the present one is ignored
      */
-    public void adoptFullness(double fullness, boolean onlyIfLower) {
+    public void adoptFillRatio(double fillRatio, boolean onlyIfLower) {
         double maxLevel = onlyIfLower ? shared.level() : plan.burstUnits();
-        shared.setLevel(Math.min(maxLevel, fullness * plan.burstUnits()));
+        shared.setLevel(Math.min(maxLevel, fillRatio * plan.burstUnits()));
         earlierUseKnown = true;
     }
 
@@ -310,12 +312,12 @@
     }
 
     /** Adds {@code change}, which may be negative, to the requests open at other gateways; called at owners. */
-    public void replicaOpenChanged(int change) {
+    public void addReplicaOpenRequests(int change) {
         concurrency.addOpenAtPeers(change);
     }
 
-    /** Books units that a replica used, or refunded if negative; called at owners. */
-    public void book(double units) {
+    /** Charges units that a replica used, or refunded if negative; called at owners. */
+    public void chargeReplicaUse(double units) {
         shared.take(units);
     }
 
@@ -329,19 +331,19 @@
         shared.takeUnchecked(units);
     }
 
-    /** Hands units of the ceiling over to a replica; called at owners. */
-    public void handOverCeiling(double units) {
-        ceiling.handOver(units);
+    /** Takes units of the ceiling that are granted to a replica; called at owners. */
+    public void grantCeilingUnits(double units) {
+        ceiling.grant(units);
     }
 
     /**
-     * Adds units of the ceiling that an owner handed over.
+     * Adds units of the ceiling that an owner granted.
      *
-     * @param totalHandedOver units handed over by the owner so far
+     * @param totalGranted units granted by the owner so far
      * @param alreadyReceived the part of them that this gateway has received before
      */
-    public void receiveCeiling(double totalHandedOver, double alreadyReceived) {
-        ceiling.receive(totalHandedOver, alreadyReceived);
+    public void receiveCeilingUnits(double totalGranted, double alreadyReceived) {
+        ceiling.receive(totalGranted, alreadyReceived);
     }
 
     // ---- snapshot
@@ -365,7 +367,7 @@
 
     /** Returns whether a snapshot of the predecessor has been restored. */
     boolean isRestored() {
-        return restoredUnits > Double.NEGATIVE_INFINITY;
+        return chargedPredecessorUnits > Double.NEGATIVE_INFINITY;
     }
 
     /**
@@ -383,12 +385,12 @@
     }
 
     /** Charges what the predecessor has used since its previous snapshot. */
-    void chargeRestoredUse(QuotaSnapshot saved) {
-        charge(Math.max(0, saved.usedUnits() - restoredUnits));
+    void chargePredecessorUse(QuotaSnapshot saved) {
+        charge(Math.max(0, saved.usedUnits() - chargedPredecessorUnits));
     }
 
     /** Records up to which running total the predecessor's use is charged here. */
-    void noteRestoredUse(QuotaSnapshot saved) {
-        restoredUnits = Math.max(restoredUnits, saved.usedUnits());
+    void recordPredecessorUse(QuotaSnapshot saved) {
+        chargedPredecessorUnits = Math.max(chargedPredecessorUnits, saved.usedUnits());
     }
 }
--- a/src/main/java/caperrudder/policy/quota/QuotaTable.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaTable.java
@@ -90,7 +90,7 @@
         // The bucket starts full. With the meter it starts with an even share of the burst, because the minimum
         // capacity of one request would let each gateway admit a first request.
         double tokens = metered ? plan.burstUnits() / replicas : localCapacity(plan, 1.0 / replicas);
-        CustomerQuota.Initial initial = new CustomerQuota.Initial(
+        CustomerQuota.InitialState initial = new CustomerQuota.InitialState(
                 tokens,
                 new CeilingBucket(plan, ceilingShare(replicas, rankedOwners), now - startedAt),
                 new ConcurrencyQuota(plan, replicas, metered),
@@ -127,8 +127,9 @@
      */
     public void forgetIdle(double now, Predicate<CustomerQuota> release) {
         quotas.values()
-                .removeIf(quota ->
-                        quota.idleMs(now) > forgetAfterMs(quota.plan()) && quota.open() == 0 && release.test(quota));
+                .removeIf(quota -> quota.idleMs(now) > forgetAfterMs(quota.plan())
+                        && quota.openRequests() == 0
+                        && release.test(quota));
     }
 
     /** Returns the idle time after which the buckets of a customer are at least as full as those of a new one. */
@@ -166,12 +167,12 @@
                 findOrCreate(now, saved.customer(), planNumber, saved.firstReplica(), saved.replicaCount());
         if (quota == null || quota.planNumber() != planNumber) return;
         if (existed && quota.isRestored()) {
-            quota.chargeRestoredUse(saved);
+            quota.chargePredecessorUse(saved);
         } else {
             quota.restore(now, saved, existed ? quota.usedUnits() : 0);
-            if (!existed) quota.lastUsedAt(Math.min(now, takenAtMs));
+            if (!existed) quota.setRefilledAt(Math.min(now, takenAtMs));
             refill(now, quota);
         }
-        quota.noteRestoredUse(saved);
+        quota.recordPredecessorUse(saved);
     }
 }
--- a/src/test/java/caperrudder/policy/quota/CeilingBucketTest.java
+++ b/src/test/java/caperrudder/policy/quota/CeilingBucketTest.java
@@ -30,7 +30,7 @@
         bucket.reserve(15);
         bucket.refill(60);
         assertEquals(5, bucket.level());
-        bucket.sent(15);
+        bucket.markSent(15);
         bucket.refill(60);
         assertEquals(20, bucket.level());
     }
@@ -43,9 +43,9 @@
     }
 
     @Test
-    void unitsHandedOverAreNotAdmitted() {
+    void grantedUnitsAreNoLongerAdmitted() {
         CeilingBucket bucket = new CeilingBucket(CAPPED, HALF, 1000);
-        bucket.handOver(4);
+        bucket.grant(4);
         assertTrue(bucket.admits(6));
         assertFalse(bucket.admits(7));
     }
