--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -65,7 +65,7 @@
     void reject(double now, PendingRequest request) {
         close(request);
         CustomerQuota quota = request.quota();
-        double estimateMs = quota == null ? QuotaTable.FORGET_AFTER_MS : quota.retryAfterMs(now, request.units());
+        double estimateMs = quota == null ? QuotaTable.MIN_EVICTION_IDLE_MS : quota.retryAfterMs(now, request.units());
         actions.reject(request.id(), retryAfter.of(estimateMs));
     }
 
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -4,8 +4,8 @@
 import caperrudder.api.Settings;
 import caperrudder.policy.quota.AdmissionControl;
 import caperrudder.policy.quota.CustomerQuota;
+import caperrudder.policy.quota.QuotaExhaustionListener;
 import caperrudder.policy.quota.QuotaTable;
-import caperrudder.policy.quota.RejectionListener;
 import java.util.Optional;
 import java.util.OptionalDouble;
 
@@ -15,7 +15,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class QuotaGossip implements RejectionListener {
+public final class QuotaGossip implements QuotaExhaustionListener {
     private final int planCount;
     private final PeerTable peers;
     private final QuotaTable quotas;
--- a/src/main/java/caperrudder/policy/gossip/QuotaReplication.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaReplication.java
@@ -2,7 +2,7 @@
 
 import caperrudder.api.Settings;
 import caperrudder.policy.quota.CustomerQuota;
-import caperrudder.policy.quota.RejectionListener;
+import caperrudder.policy.quota.QuotaExhaustionListener;
 import caperrudder.policy.quota.UsageSource;
 import java.util.HashMap;
 import java.util.Map;
@@ -12,7 +12,7 @@
  *
  * <p>Not thread-safe.
  */
-final class QuotaReplication implements RejectionListener {
+final class QuotaReplication implements QuotaExhaustionListener {
     private static final double SYNC_INTERVAL_MS = 300; // minimum time between reports that are not urgent
 
     private final boolean isPeerGossipEnabled;
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -30,7 +30,7 @@
     private final QuotaTable table;
     private final DemandShares shares;
     private final OwnerLocator owners;
-    private final RejectionListener rejections;
+    private final QuotaExhaustionListener exhaustionListener;
     private final DoubleSupplier overdueShare;
     private final Map<Integer, ExpectedValueAdmission> firstRequestAdmissionByPlan = new HashMap<>();
     private final Map<Integer, ExpectedValueAdmission> clientRetryAdmissionByPlan = new HashMap<>();
@@ -40,7 +40,7 @@
             Settings settings,
             QuotaTable table,
             OwnerLocator owners,
-            RejectionListener rejections,
+            QuotaExhaustionListener exhaustionListener,
             DoubleSupplier overdueShare) {
         UsageSource source = UsageSource.of(settings);
         this.usesPeerMessages = source == UsageSource.PEERS;
@@ -49,7 +49,7 @@
         this.table = table;
         this.shares = new DemandShares(source, owners);
         this.owners = owners;
-        this.rejections = rejections;
+        this.exhaustionListener = exhaustionListener;
         this.overdueShare = overdueShare;
     }
 
@@ -64,7 +64,7 @@
         boolean excessProfitable = isExcessProfitable(quota.plan());
         boolean rateLimited = quota.hasRate() && !excessProfitable;
         if ((!excessProfitable && !concurrencyAdmits(now, quota)) || (rateLimited && !quota.sharedHolds(units))) {
-            rejections.quotaExhausted(now, quota);
+            exhaustionListener.quotaExhausted(now, quota);
             return AdmissionDecision.REJECT;
         }
         boolean singleReplica = quota.replicaCount() == 1;
--- a/src/main/java/caperrudder/policy/quota/RejectionListener.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaExhaustionListener.java
@@ -1,7 +1,7 @@
 package caperrudder.policy.quota;
 
 /** Is notified of requests that exceed a quota, so that it can report their demand to the quota's owner. */
-public interface RejectionListener {
+public interface QuotaExhaustionListener {
     /** Called when a request is rejected because the quota is used up. */
     void quotaExhausted(double now, CustomerQuota quota);
 }
--- a/src/main/java/caperrudder/policy/quota/QuotaTable.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaTable.java
@@ -16,8 +16,8 @@
  * <p>Not thread-safe.
  */
 public final class QuotaTable {
-    /** Minimum idle time after which a customer is removed from the table. */
-    public static final double FORGET_AFTER_MS = 20_000;
+    /** Minimum idle time after which a customer is evicted. */
+    public static final double MIN_EVICTION_IDLE_MS = 20_000;
 
     /** Returned by {@link #planNumber} for a plan that the settings do not contain. */
     public static final int UNKNOWN_PLAN = -1;
@@ -26,7 +26,7 @@
     private static final int MAX_CUSTOMERS = 20_000;
     /** A snapshot holds the most recently used customers. */
     private static final int MAX_SNAPSHOT_CUSTOMERS = 4000;
-    /** Idle time before a customer is removed, as a multiple of the time in which its slowest bucket fills. */
+    /** Idle time before a customer is evicted, as a multiple of the time in which its slowest bucket fills. */
     private static final double IDLE_TO_FILL_TIME_RATIO = 2;
     /** Share of a ceiling reserved for the first owner; the rest is divided evenly over the replica set. */
     private static final double FIRST_OWNER_CEILING_SHARE = 0.5;
@@ -120,25 +120,25 @@
     }
 
     /**
-     * Removes customers that have been idle for so long that a new quota would hold no more units than theirs.
+     * Evicts customers that have been idle for so long that a new quota would hold no more units than theirs.
      *
      * @param release releases state that other components keep for a quota; returns false if that state is still in
      *     use, and the quota then stays in the table
      */
-    public void forgetIdle(double now, Predicate<CustomerQuota> release) {
+    public void evictIdle(double now, Predicate<CustomerQuota> release) {
         quotas.values()
-                .removeIf(quota -> quota.idleMs(now) > forgetAfterMs(quota.plan())
+                .removeIf(quota -> quota.idleMs(now) > evictionIdleMs(quota.plan())
                         && quota.openRequests() == 0
                         && release.test(quota));
     }
 
     /** Returns the idle time after which the buckets of a customer are at least as full as those of a new one. */
-    private static double forgetAfterMs(Plan plan) {
+    private static double evictionIdleMs(Plan plan) {
         double quotaFillSeconds = plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 0;
         double ceilingFillSeconds =
                 plan.ceilingUnitsPerSecond() > 0 ? plan.ceilingBurstUnits() / plan.ceilingUnitsPerSecond() : 0;
         return Math.max(
-                FORGET_AFTER_MS,
+                MIN_EVICTION_IDLE_MS,
                 IDLE_TO_FILL_TIME_RATIO * MS_PER_SECOND * Math.max(quotaFillSeconds, ceilingFillSeconds));
     }
 
