--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -1,7 +1,7 @@
 package caperrudder.policy;
 
 import caperrudder.api.Request;
-import caperrudder.policy.gossip.OwnerRequest;
+import caperrudder.policy.gossip.PendingDecision;
 import caperrudder.policy.loadbalancing.Endpoint;
 import caperrudder.policy.quota.CustomerQuota;
 import caperrudder.policy.quota.QuotaRequest;
@@ -28,7 +28,7 @@
     private boolean admitted;
     private boolean responding;
     private boolean closed;
-    private OwnerRequest ownerRequest; // null if no owner of the quota was asked
+    private PendingDecision pendingDecision; // null if no owner of the quota was asked
 
     /** @param quota of the customer; null if the settings do not define its plan or the quota table is full */
     PendingRequest(Request request, TrafficClass trafficClass, CustomerQuota quota) {
@@ -79,14 +79,14 @@
         return quota;
     }
 
-    /** Returns the request for the decision of the quota's owner, or null if no owner was asked. */
-    OwnerRequest ownerRequest() {
-        return ownerRequest;
+    /** Returns the decision that is pending at an owner of the quota, or null if no owner was asked. */
+    PendingDecision pendingDecision() {
+        return pendingDecision;
     }
 
-    /** Records that the quota's owner is asked for the decision. */
-    void awaitOwner(OwnerRequest decisionRequest) {
-        ownerRequest = decisionRequest;
+    /** Records the decision that is pending at an owner of the quota. */
+    void setPendingDecision(PendingDecision decision) {
+        pendingDecision = decision;
     }
 
     /** Returns the time since which the client has been waiting: the arrival, or the later end of the body. */
--- a/src/main/java/caperrudder/policy/RequestAdmission.java
+++ b/src/main/java/caperrudder/policy/RequestAdmission.java
@@ -1,9 +1,9 @@
 package caperrudder.policy;
 
 import caperrudder.api.Request;
-import caperrudder.policy.gossip.OwnerRequest;
-import caperrudder.policy.gossip.QuotaApplicant;
+import caperrudder.policy.gossip.PendingDecision;
 import caperrudder.policy.gossip.QuotaGossip;
+import caperrudder.policy.gossip.UndecidedRequest;
 import caperrudder.policy.quota.AdmissionControl;
 import caperrudder.policy.quota.AdmissionDecision;
 import caperrudder.policy.quota.CustomerQuota;
@@ -68,16 +68,16 @@
     }
 
     private void askOwner(double now, PendingRequest request) {
-        OwnerRequest ownerRequest = new OwnerRequest(request.quota(), new PendingDecision(request));
-        request.awaitOwner(ownerRequest);
-        gossip.ask(now, ownerRequest, request.arrivedAt());
+        PendingDecision pendingDecision = new PendingDecision(request.quota(), new PendingRequestAdapter(request));
+        request.setPendingDecision(pendingDecision);
+        gossip.ask(now, pendingDecision, request.arrivedAt());
     }
 
-    /** A request that awaits the decision of an owner of its customer's quota. */
-    private final class PendingDecision implements QuotaApplicant {
+    /** Receives an owner's decision on a pending request. */
+    private final class PendingRequestAdapter implements UndecidedRequest {
         private final PendingRequest request;
 
-        PendingDecision(PendingRequest request) {
+        PendingRequestAdapter(PendingRequest request) {
             this.request = request;
         }
 
@@ -87,17 +87,17 @@
         }
 
         @Override
-        public double decisionDueAt() {
+        public double decisionDueAtMs() {
             return RequestExpiry.answerDueAt(request);
         }
 
         @Override
-        public boolean isSettled() {
+        public boolean isDecided() {
             return request.isClosed() || request.isAdmitted();
         }
 
         @Override
-        public void decided(double now, boolean admitted) {
+        public void onDecision(double now, boolean admitted) {
             if (admitted) requests.admit(now, request);
             else requests.reject(now, request);
         }
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -124,7 +124,7 @@
     }
 
     private void closeQuota(PendingRequest request) {
-        if (request.ownerRequest() != null) gossip.withdraw(request.ownerRequest());
+        if (request.pendingDecision() != null) gossip.withdraw(request.pendingDecision());
         if (!request.isAdmitted()) return;
         request.quota().requestClosed();
         boolean sentCompletely = request.hasAttempts() && !request.isBodyPending();
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -159,7 +159,7 @@
         for (TrafficClass trafficClass : classes.all()) {
             requests.expire(now, trafficClass);
         }
-        gossip.checkOverdueReplies(now);
+        gossip.handleOverdueReplies(now);
         loadBalancer.refreshIfDue(now);
         attempts.detectOverdue(now);
         limit.adapt(now);
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -21,7 +21,7 @@
     private final QuotaTable quotas;
     private final QuotaOwnership ownership;
     private final QuotaReplication replication;
-    private final OwnerRequests requests;
+    private final PendingDecisions decisions;
     private final ReportHandler reports;
     private final ReplyHandler replies;
     private final GossipOutbox outbox;
@@ -36,9 +36,9 @@
         double acceptedPerSecond = settings.coordination().peerMessagesPerSecond();
         this.outbox = new GossipOutbox(now, peers.size(), acceptedPerSecond, actions, new CurrentEntryWriter());
         this.replication = new QuotaReplication(settings, ownership, outbox);
-        this.requests = new OwnerRequests(quotas, ownership, replication, outbox);
+        this.decisions = new PendingDecisions(quotas, ownership, replication, outbox);
         this.reports = new ReportHandler(settings, quotas, ownership, replication, outbox);
-        this.replies = new ReplyHandler(quotas, ownership, replication, requests, outbox);
+        this.replies = new ReplyHandler(quotas, ownership, replication, decisions, outbox);
     }
 
     /** Handles a message from another gateway. A message that is damaged or from an unknown sender is ignored. */
@@ -84,29 +84,29 @@
      *
      * @param arrivedAt time in milliseconds at which the request arrived
      */
-    public void ask(double now, OwnerRequest request, double arrivedAt) {
-        requests.submit(now, request, arrivedAt);
+    public void ask(double now, PendingDecision decision, double arrivedAt) {
+        decisions.submit(now, decision, arrivedAt);
     }
 
-    /** Removes a request that no longer needs a decision. */
-    public void withdraw(OwnerRequest request) {
-        requests.withdraw(request);
+    /** Removes a decision that is no longer needed. */
+    public void withdraw(PendingDecision decision) {
+        decisions.withdraw(decision);
     }
 
-    /** Asks the next owners about requests whose replies are overdue. */
-    public void checkOverdueReplies(double now) {
-        requests.checkOverdue(now);
+    /** Asks the next owners about decisions whose replies are overdue. */
+    public void handleOverdueReplies(double now) {
+        decisions.handleOverdueReplies(now);
     }
 
-    /** Extends the times to reply after this gateway's event loop was stalled. */
+    /** Extends the reply deadlines after this gateway's event loop was stalled. */
     public void stalled(double ms) {
-        requests.postponeReplies(ms);
+        decisions.extendReplyDeadlines(ms);
     }
 
     /**
-     * Removes the replication state of a quota, unless requests await a decision on it.
+     * Removes the replication state of a quota, unless decisions on it are pending.
      *
-     * @return false if requests await a decision, so that the state is kept
+     * @return false if decisions are pending, so that the state is kept
      */
     public boolean release(CustomerQuota quota) {
         return replication.release(quota);
@@ -118,8 +118,8 @@
         public ReplicaReport report(double now, PeerState owner, ReplicatedQuota replicated) {
             CustomerQuota quota = replicated.quota();
             quotas.refill(now, quota);
-            replicated.askedBy(owner);
-            double wantedUnits = replicated.heldUnits();
+            replicated.recordReportTo(owner);
+            double wantedUnits = replicated.pendingUnits();
             return new ReplicaReport(
                     quota.customer(),
                     quota.planNumber(),
@@ -143,7 +143,7 @@
         private boolean wantsReply(double now, PeerState owner, ReplicatedQuota replicated) {
             return ownership.decidingOwner(now, replicated.quota(), 0) == owner.number()
                     || owner.isSilent(now)
-                    || replicated.isAsking(owner);
+                    || replicated.hasPendingAt(owner);
         }
 
         @Override
--- a/src/main/java/caperrudder/policy/gossip/QuotaReplication.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaReplication.java
@@ -34,13 +34,13 @@
     }
 
     /**
-     * Removes the replication state of a quota, unless requests await a decision on it.
+     * Removes the replication state of a quota, unless decisions on it are pending.
      *
-     * @return false if requests await a decision, so that the state is kept
+     * @return false if decisions are pending, so that the state is kept
      */
     boolean release(CustomerQuota quota) {
         ReplicatedQuota replicated = replicatedQuotas.get(quota);
-        if (replicated != null && replicated.holdsRequests()) return false;
+        if (replicated != null && replicated.hasPending()) return false;
         replicatedQuotas.remove(quota);
         return true;
     }
--- a/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * The replication state of one customer's quota: the state of each peer, and the requests that await an owner's
- * decision.
+ * The replication state of one customer's quota: the state of each peer, and the decisions that are
+ * pending at owners.
  *
  * <p>Not thread-safe.
  */
 final class ReplicatedQuota {
     private final CustomerQuota quota;
     private final Map<Integer, ReplicaState> replicas = new TreeMap<>(); // by gateway number
-    private final Deque<OwnerRequest> pendingRequests = new ArrayDeque<>();
+    private final Deque<PendingDecision> pendingDecisions = new ArrayDeque<>();
     private double lastReportDueAtMs = Double.NEGATIVE_INFINITY;
 
     ReplicatedQuota(CustomerQuota quota) {
@@ -48,52 +48,52 @@
         return replica;
     }
 
-    /** Adds a request that awaits an owner's decision, if it is not yet present. */
-    void hold(OwnerRequest request) {
-        if (!pendingRequests.contains(request)) pendingRequests.addLast(request);
+    /** Adds a pending decision, unless it is present. */
+    void addPending(PendingDecision decision) {
+        if (!pendingDecisions.contains(decision)) pendingDecisions.addLast(decision);
     }
 
-    /** Removes a request that no longer awaits a decision. */
-    void release(OwnerRequest request) {
-        pendingRequests.remove(request);
+    /** Removes a decision that is no longer pending. */
+    void removePending(PendingDecision decision) {
+        pendingDecisions.remove(decision);
     }
 
-    /** Returns whether requests await an owner's decision. */
-    boolean holdsRequests() {
-        return !pendingRequests.isEmpty();
+    /** Returns whether decisions are pending. */
+    boolean hasPending() {
+        return !pendingDecisions.isEmpty();
     }
 
-    /** Returns the units of all requests that await a decision. */
-    double heldUnits() {
-        return pendingRequests.stream().mapToDouble(OwnerRequest::units).sum();
+    /** Returns the units that all pending decisions are about. */
+    double pendingUnits() {
+        return pendingDecisions.stream().mapToDouble(PendingDecision::units).sum();
     }
 
-    /** Returns whether requests await a decision of this owner. */
-    boolean isAsking(PeerState owner) {
-        return pendingRequests.stream().anyMatch(request -> request.isAskedOf(owner));
+    /** Returns whether decisions are pending at an owner. */
+    boolean hasPendingAt(PeerState owner) {
+        return pendingDecisions.stream().anyMatch(decision -> decision.isAssignedTo(owner));
     }
 
-    /** Returns the requests that await a decision of this owner, in the order in which they were added. */
-    List<OwnerRequest> askedOf(PeerState owner) {
-        return pendingRequests.stream()
-                .filter(request -> request.isAskedOf(owner))
+    /** Returns the decisions that are pending at an owner, in the order in which they were added. */
+    List<PendingDecision> pendingAt(PeerState owner) {
+        return pendingDecisions.stream()
+                .filter(decision -> decision.isAssignedTo(owner))
                 .toList();
     }
 
     /**
-     * Returns the requests that await a decision of this owner and that the messages up to the acknowledged one asked
-     * for, in the order in which they were added.
+     * Returns the decisions that are pending at an owner and that the messages up to the acknowledged one asked for, in
+     * the order in which they were added.
      */
-    List<OwnerRequest> askedOf(PeerState owner, int acknowledgedSerial) {
-        return pendingRequests.stream()
-                .filter(request -> request.isAskedOf(owner) && request.isAskedBy(acknowledgedSerial))
+    List<PendingDecision> pendingAt(PeerState owner, int acknowledgedSerial) {
+        return pendingDecisions.stream()
+                .filter(decision -> decision.isAssignedTo(owner) && decision.wasReportedUpTo(acknowledgedSerial))
                 .toList();
     }
 
-    /** Records that the message being written asks the owner about all requests that await its decision. */
-    void askedBy(PeerState owner) {
-        for (OwnerRequest request : pendingRequests) {
-            if (request.isAskedOf(owner)) request.askedBy(owner.sentSerial());
+    /** Records that the message being written asks the owner for all decisions that are pending at it. */
+    void recordReportTo(PeerState owner) {
+        for (PendingDecision decision : pendingDecisions) {
+            if (decision.isAssignedTo(owner)) decision.recordReportSerial(owner.sentSerial());
         }
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Handles the replies of owners to this gateway as a replica: takes over the owner's view of the quota and decides the
- * requests that await the reply according to the granted units.
+ * Handles the replies of owners to this gateway as a replica: takes over the owner's view of the quota and completes
+ * the pending decisions that the reply answers.
  *
  * <p>Not thread-safe.
  */
@@ -15,20 +15,20 @@
     private final PeerTable peers;
     private final QuotaOwnership ownership;
     private final QuotaReplication replication;
-    private final OwnerRequests requests;
+    private final PendingDecisions decisions;
     private final GossipOutbox outbox;
 
     ReplyHandler(
             QuotaTable quotas,
             QuotaOwnership ownership,
             QuotaReplication replication,
-            OwnerRequests requests,
+            PendingDecisions decisions,
             GossipOutbox outbox) {
         this.quotas = quotas;
         this.peers = ownership.peers();
         this.ownership = ownership;
         this.replication = replication;
-        this.requests = requests;
+        this.decisions = decisions;
         this.outbox = outbox;
     }
 
@@ -39,13 +39,13 @@
         quotas.refill(now, quota);
         ReplicatedQuota replicated = replication.of(quota);
         if (quota.planNumber() != reply.planNumber()) { // one of the two gateways has a wrong plan
-            replicated.askedOf(owner).forEach(request -> request.applicant().decided(now, false));
+            replicated.pendingAt(owner).forEach(decision -> decision.request().onDecision(now, false));
             return;
         }
         receiveCeiling(quota, replicated.replica(owner), reply);
-        List<OwnerRequest> answeredRequests = replicated.askedOf(owner, acknowledgedSerial);
+        List<PendingDecision> answeredDecisions = replicated.pendingAt(owner, acknowledgedSerial);
         if (!reply.uncertain()) applyOwnerView(now, quota, reply);
-        decide(now, owner, reply, answeredRequests);
+        decide(now, owner, reply, answeredDecisions);
     }
 
     private static void receiveCeiling(CustomerQuota quota, ReplicaState replica, OwnerReply reply) {
@@ -62,19 +62,19 @@
         quota.ownerReplied(now, reply.othersDemandPerSecond(), reply.othersOpenRequests(), sharedLevelUnits);
     }
 
-    private void decide(double now, PeerState owner, OwnerReply reply, List<OwnerRequest> answeredRequests) {
+    private void decide(double now, PeerState owner, OwnerReply reply, List<PendingDecision> answeredDecisions) {
         double remainingUnits = reply.grantedUnits();
-        for (OwnerRequest request : answeredRequests) {
-            if (reply.uncertain() && OwnerRequests.hasNext(request)) {
-                requests.askNext(now, request);
+        for (PendingDecision decision : answeredDecisions) {
+            if (reply.uncertain() && PendingDecisions.hasNextOwner(decision)) {
+                decisions.askNextOwner(now, decision);
                 continue;
             }
-            requests.withdraw(request);
-            CustomerQuota quota = request.quota();
-            double units = request.units();
+            decisions.withdraw(decision);
+            CustomerQuota quota = decision.quota();
+            double units = decision.units();
             boolean admitted = remainingUnits >= units && quota.ceilingAdmits(units);
             remainingUnits -= admitted ? units : 0;
-            request.applicant().decided(now, admitted);
+            decision.request().onDecision(now, admitted);
             if (admitted) informFirstOwner(owner, quota);
         }
     }
--- a/src/main/java/caperrudder/policy/gossip/QuotaApplicant.java
+++ b/src/main/java/caperrudder/policy/gossip/UndecidedRequest.java
@@ -1,16 +1,16 @@
 package caperrudder.policy.gossip;
 
 /** A request that awaits an owner's decision on its customer's quota. */
-public interface QuotaApplicant {
+public interface UndecidedRequest {
     /** Returns the units of the quota that the request uses. */
     double units();
 
     /** Returns the time in milliseconds by which the request must be decided. It changes when the last byte arrives. */
-    double decisionDueAt();
+    double decisionDueAtMs();
 
     /** Returns whether the request was already admitted or has ended, so that it needs no decision. */
-    boolean isSettled();
+    boolean isDecided();
 
     /** Handles the decision. Called at most once. */
-    void decided(double now, boolean admitted);
+    void onDecision(double now, boolean admitted);
 }
--- a/src/main/java/caperrudder/policy/gossip/package-info.java
+++ b/src/main/java/caperrudder/policy/gossip/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Exchange of quota state between gateways: the messages and their codec, the ownership of quotas, the state of each
- * peer, requests awaiting an owner's decision, and the outbox.
+ * peer, decisions pending at an owner, and the outbox.
  *
  * <p>Pages: DESIGN-caperrudder ("Customer parts, ours"), WIRE-caperrudder (NOTIFY). Messages may be lost, duplicated or
  * reordered. They carry serials and running totals, so that a repeated message has no effect and a later message makes
