--- a/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
+++ b/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
@@ -90,10 +90,10 @@
         double sendIntervalMs = Math.min(MAX_SEND_INTERVAL_MS, (gatewayCount - 1) / messagesPerMs);
         for (PeerState peer : new ArrayList<>(queue)) {
             boolean hasNoReplies = peer.dueReplies().isEmpty();
-            if (peer.sinceSentMs(now) < sendIntervalMs || (hasNoReplies && reportAllowance < 1)) continue;
+            if (peer.timeSinceSentMs(now) < sendIntervalMs || (hasNoReplies && reportAllowance < 1)) continue;
             if (hasNoReplies) reportAllowance -= 1;
             send(now, peer);
-            if (peer.hasDue()) continue;
+            if (peer.hasDueEntries()) continue;
             queue.remove(peer);
             peer.setQueued(false);
         }
@@ -101,12 +101,12 @@
 
     private void send(double now, PeerState peer) {
         List<QuotaEntry> entries = new ArrayList<>();
-        peer.nextSerial();
+        peer.advanceSerial();
         writeReplies(now, peer, entries);
         writeReports(now, peer, entries);
-        peer.sent(now);
-        QuotaMessage message =
-                new QuotaMessage(incarnation, peer.incarnation(), peer.sentSerial(), peer.receivedSerial(), entries);
+        peer.recordSent(now);
+        QuotaMessage message = new QuotaMessage(
+                incarnation, peer.incarnation(), peer.lastSentSerial(), peer.lastReceivedSerial(), entries);
         actions.sendToPeer(peer.number(), QuotaMessageCodec.encode(message));
     }
 
@@ -133,8 +133,8 @@
     boolean accept(double now, PeerState peer, QuotaMessage message) {
         // If accepted, a future incarnation would make all messages of the sender's real incarnation look outdated.
         boolean isFromFuture = message.senderIncarnation() - incarnationAt(now) > MAX_CLOCK_SKEW_MS;
-        if (isFromFuture || !peer.isNews(message)) return false;
-        peer.received(message);
+        if (isFromFuture || !peer.isNewerThanLast(message)) return false;
+        peer.recordReceived(message);
         return true;
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/PeerState.java
+++ b/src/main/java/caperrudder/policy/gossip/PeerState.java
@@ -15,8 +15,8 @@
     private boolean queued;
     private boolean hasSentMessage;
     private int incarnation;
-    private int sentSerial;
-    private int receivedSerial;
+    private int lastSentSerial;
+    private int lastReceivedSerial;
     private double lastSentAtMs = Double.NEGATIVE_INFINITY;
     private double unresponsiveUntilMs = Double.NEGATIVE_INFINITY;
 
@@ -35,53 +35,53 @@
     }
 
     /** Returns the serial of the last message sent to the peer. */
-    int sentSerial() {
-        return sentSerial;
+    int lastSentSerial() {
+        return lastSentSerial;
     }
 
     /** Returns the serial of the last message accepted from the peer. */
-    int receivedSerial() {
-        return receivedSerial;
+    int lastReceivedSerial() {
+        return lastReceivedSerial;
     }
 
     /** Returns the time since the last message was sent to the peer; infinite if none was. */
-    double sinceSentMs(double now) {
+    double timeSinceSentMs(double now) {
         return now - lastSentAtMs;
     }
 
     /** Returns whether the peer recently failed to reply in time, so that it is not asked for decisions. */
-    boolean isSilent(double now) {
+    boolean isUnresponsive(double now) {
         return now < unresponsiveUntilMs;
     }
 
     /** Marks the peer as unresponsive until the given time, or until a message from it is accepted. */
-    void silentUntil(double untilMs) {
+    void markUnresponsiveUntil(double untilMs) {
         unresponsiveUntilMs = untilMs;
     }
 
     /** Returns whether a message is later than the last one accepted from the peer, by incarnation and serial. */
-    boolean isNews(QuotaMessage message) {
+    boolean isNewerThanLast(QuotaMessage message) {
         if (!hasSentMessage) return true;
         return message.senderIncarnation() == incarnation
-                ? SerialArithmetic.isAfter(message.serial(), receivedSerial)
+                ? SerialArithmetic.isAfter(message.serial(), lastReceivedSerial)
                 : !SerialArithmetic.isOlder(message.senderIncarnation(), incarnation);
     }
 
     /** Records an accepted message: the peer's incarnation, its serial, and that the peer is responsive. */
-    void received(QuotaMessage message) {
+    void recordReceived(QuotaMessage message) {
         hasSentMessage = true;
         incarnation = message.senderIncarnation();
-        receivedSerial = message.serial();
+        lastReceivedSerial = message.serial();
         unresponsiveUntilMs = Double.NEGATIVE_INFINITY;
     }
 
     /** Assigns the next serial to a message to the peer. Must be called before the message's entries are created. */
-    void nextSerial() {
-        sentSerial++;
+    void advanceSerial() {
+        lastSentSerial++;
     }
 
     /** Records the time at which a message was sent to the peer. */
-    void sent(double now) {
+    void recordSent(double now) {
         lastSentAtMs = now;
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Returns whether a report or a reply to the peer is due. */
-    boolean hasDue() {
+    boolean hasDueEntries() {
         return !dueReports.isEmpty() || !dueReplies.isEmpty();
     }
 
--- a/src/main/java/caperrudder/policy/gossip/PeerTable.java
+++ b/src/main/java/caperrudder/policy/gossip/PeerTable.java
@@ -30,7 +30,7 @@
     }
 
     /** Returns whether {@code number} is the number of another gateway of the deployment. */
-    boolean isOther(int number) {
+    boolean isPeer(int number) {
         return number >= 0 && number < peers.length && number != ownNumber;
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/PendingDecision.java
+++ b/src/main/java/caperrudder/policy/gossip/PendingDecision.java
@@ -38,7 +38,7 @@
     void assignTo(PeerState peer, int rank, double replyDueAt) {
         ownerRank = rank;
         owner = peer.number();
-        reportSerial = peer.sentSerial() + 1;
+        reportSerial = peer.lastSentSerial() + 1;
         replyDueAtMs = replyDueAt;
     }
 
--- a/src/main/java/caperrudder/policy/gossip/PendingDecisions.java
+++ b/src/main/java/caperrudder/policy/gossip/PendingDecisions.java
@@ -97,7 +97,7 @@
                 .filter(pending -> pending.isReplyOverdue(now))
                 .toList()) {
             awaitingReply.remove(decision);
-            peers.get(decision.owner()).silentUntil(now + UNRESPONSIVE_MS);
+            peers.get(decision.owner()).markUnresponsiveUntil(now + UNRESPONSIVE_MS);
             quotas.refill(now, decision.quota());
             askNextOwner(now, decision);
         }
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -43,7 +43,7 @@
 
     /** Handles a message from another gateway. A message that is damaged or from an unknown sender is ignored. */
     public void receive(double now, int from, byte[] data) {
-        if (!peers.isOther(from)) return;
+        if (!peers.isPeer(from)) return;
         Optional<QuotaMessage> decoded = QuotaMessageCodec.decode(data);
         if (decoded.isEmpty()) return;
         QuotaMessage message = decoded.get();
@@ -142,7 +142,7 @@
 
         private boolean wantsReply(double now, PeerState owner, ReplicatedQuota replicated) {
             return ownership.decidingOwner(now, replicated.quota(), 0) == owner.number()
-                    || owner.isSilent(now)
+                    || owner.isUnresponsive(now)
                     || replicated.hasPendingAt(owner);
         }
 
--- a/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
@@ -65,7 +65,7 @@
     /** Other owners must be responsive. This gateway must know the earlier use, unless no owner is left to ask. */
     private boolean canDecide(double now, CustomerQuota quota, int rank) {
         int owner = quota.owner(rank);
-        if (owner != peers.ownNumber()) return !peers.get(owner).isSilent(now);
+        if (owner != peers.ownNumber()) return !peers.get(owner).isUnresponsive(now);
         boolean isLastRank = rank == quota.ownerCount() - 1;
         return isLastRank || !isUncertain(now, quota);
     }
--- a/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
@@ -93,7 +93,7 @@
     /** Records that the message being written asks the owner for all decisions that are pending at it. */
     void recordReportTo(PeerState owner) {
         for (PendingDecision decision : pendingDecisions) {
-            if (decision.isAssignedTo(owner)) decision.recordReportSerial(owner.sentSerial());
+            if (decision.isAssignedTo(owner)) decision.recordReportSerial(owner.lastSentSerial());
         }
     }
 }
