--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -172,7 +172,7 @@
     private void cleanUp(double now) {
         if (now - cleanedUpAt < CLEANUP_INTERVAL_MS) return;
         cleanedUpAt = now;
-        quotas.evictIdle(now, gossip::release);
+        quotas.evictIdle(now, gossip::removeIfIdle);
         loadBalancer.removeUnlisted();
     }
 
--- a/src/main/java/caperrudder/policy/gossip/OwnerReply.java
+++ b/src/main/java/caperrudder/policy/gossip/OwnerReply.java
@@ -5,23 +5,23 @@
 /**
  * A reply from an owner of a customer's quota to a gateway of the customer's replica set.
  *
- * @param bookedUnits the receiver's running total of used units as booked by the owner, including the granted units
+ * @param chargedUnits the receiver's running total of used units as charged by the owner, including the granted units
  * @param grantedUnits units granted in response to the receiver's last report
  * @param othersDemandPerSecond units per second demanded at all gateways except the receiver
  * @param othersOpenRequests number of requests open at all gateways except the receiver
  * @param fullness fill ratio of the shared bucket, -1 to 1
  * @param uncertain whether the owner started recently and does not know which units were used before
- * @param ceilingUnitsGiven running total of the ceiling units given to the receiver, counted from the later start of
- *     the two gateways; empty if the plan has no ceiling
+ * @param ceilingUnitsGranted running total of the ceiling units granted to the receiver, counted from the later
+ *     start of the two gateways; empty if the plan has no ceiling
  */
 public record OwnerReply(
         long customer,
         int planNumber,
-        double bookedUnits,
+        double chargedUnits,
         double grantedUnits,
         double othersDemandPerSecond,
         int othersOpenRequests,
         double fullness,
         boolean uncertain,
-        OptionalDouble ceilingUnitsGiven)
+        OptionalDouble ceilingUnitsGranted)
         implements QuotaEntry {}
--- a/src/main/java/caperrudder/policy/gossip/PendingDecisions.java
+++ b/src/main/java/caperrudder/policy/gossip/PendingDecisions.java
@@ -66,10 +66,10 @@
         PeerState peer = peers.get(owner);
         int rank = owner == quota.owner(0) ? 0 : quota.ownerCount() - 1;
         decision.assignTo(peer, rank, now + REPLY_TIMEOUT_MS);
-        ReplicatedQuota replicated = replication.of(quota);
+        ReplicatedQuota replicated = replication.stateOf(quota);
         replicated.addPending(decision);
         awaitingReply.add(decision);
-        replicated.reported(now);
+        replicated.recordReport(now);
         outbox.queueReport(peer, replicated);
     }
 
@@ -79,12 +79,12 @@
         withdraw(decision);
         boolean admitted = quota.admitsWithoutOwner(decision.units(), isOwnerKnown);
         decision.request().onDecision(now, admitted);
-        replication.changed(now, quota);
+        replication.reportChange(now, quota);
     }
 
     /** Removes a decision that is no longer needed. */
     void withdraw(PendingDecision decision) {
-        replication.of(decision.quota()).removePending(decision);
+        replication.stateOf(decision.quota()).removePending(decision);
     }
 
     /**
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -70,7 +70,7 @@
 
     /** Reports to a quota's owners that its use at this gateway has changed. */
     public void quotaChanged(double now, CustomerQuota quota) {
-        replication.changed(now, quota);
+        replication.reportChange(now, quota);
     }
 
     @Override
@@ -108,8 +108,8 @@
      *
      * @return false if decisions are pending, so that the state is kept
      */
-    public boolean release(CustomerQuota quota) {
-        return replication.release(quota);
+    public boolean removeIfIdle(CustomerQuota quota) {
+        return replication.removeIfIdle(quota);
     }
 
     /** Creates each entry when its message is sent, so that it carries the current state. */
@@ -155,13 +155,13 @@
             return new OwnerReply(
                     quota.customer(),
                     quota.planNumber(),
-                    replica.bookedUnits(),
+                    replica.chargedUnits(),
                     replica.grantedUnits(),
                     Math.max(0, quota.totalDemandPerSecond() - replicaDemand),
                     quota.totalOpenRequests() - replica.openRequests(),
                     quota.fillRatio(),
                     ownership.isUncertain(now, quota),
-                    quota.hasCeiling() ? OptionalDouble.of(replica.ceilingGiven()) : OptionalDouble.empty());
+                    quota.hasCeiling() ? OptionalDouble.of(replica.ceilingUnitsGranted()) : OptionalDouble.empty());
         }
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/QuotaMessageCodec.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaMessageCodec.java
@@ -67,7 +67,7 @@
         if (entry instanceof OwnerReply reply) {
             return COMMON_ENTRY_BYTES
                     + FILL_RATIO_BYTES
-                    + (reply.ceilingUnitsGiven().isPresent() ? CEILING_BYTES : 0);
+                    + (reply.ceilingUnitsGranted().isPresent() ? CEILING_BYTES : 0);
         }
         ReplicaReport report = (ReplicaReport) entry;
         return COMMON_ENTRY_BYTES + REPLICA_SET_BYTES + (report.fullness().isPresent() ? FILL_RATIO_BYTES : 0);
@@ -93,15 +93,15 @@
     }
 
     private static void writeReply(ByteBuffer buffer, OwnerReply reply) {
-        boolean hasCeiling = reply.ceilingUnitsGiven().isPresent();
+        boolean hasCeiling = reply.ceilingUnitsGranted().isPresent();
         int flags = FLAG_OWNER_REPLY | (hasCeiling ? FLAG_CEILING : 0) | (reply.uncertain() ? FLAG_UNCERTAIN : 0);
         writeFlagsAndCustomer(buffer, flags, reply);
-        writeTotal(buffer, reply.bookedUnits());
+        writeTotal(buffer, reply.chargedUnits());
         writeUnits(buffer, reply.grantedUnits());
         writeUnits(buffer, reply.othersDemandPerSecond());
         buffer.putShort(clampToUnsignedShort(reply.othersOpenRequests()));
         writeFillRatio(buffer, reply.fullness());
-        if (hasCeiling) writeTotal(buffer, reply.ceilingUnitsGiven().getAsDouble());
+        if (hasCeiling) writeTotal(buffer, reply.ceilingUnitsGranted().getAsDouble());
     }
 
     private static void writeFlagsAndCustomer(ByteBuffer buffer, int flags, QuotaEntry entry) {
--- a/src/main/java/caperrudder/policy/gossip/QuotaReplication.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaReplication.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns the replication state of a quota, which is created on first use. */
-    ReplicatedQuota of(CustomerQuota quota) {
+    ReplicatedQuota stateOf(CustomerQuota quota) {
         return replicatedQuotas.computeIfAbsent(quota, ReplicatedQuota::new);
     }
 
@@ -38,7 +38,7 @@
      *
      * @return false if decisions are pending, so that the state is kept
      */
-    boolean release(CustomerQuota quota) {
+    boolean removeIfIdle(CustomerQuota quota) {
         ReplicatedQuota replicated = replicatedQuotas.get(quota);
         if (replicated != null && replicated.hasPending()) return false;
         replicatedQuotas.remove(quota);
@@ -49,15 +49,15 @@
      * Reports a change of a quota: immediately to the owner that decides on it, or at intervals to the other owners if
      * this gateway decides.
      */
-    void changed(double now, CustomerQuota quota) {
+    void reportChange(double now, CustomerQuota quota) {
         if (!isReplicated(quota)) return;
-        ReplicatedQuota replicated = of(quota);
+        ReplicatedQuota replicated = stateOf(quota);
         int owner = ownership.decidingOwner(now, quota, 0);
         if (owner != peers.ownNumber()) {
-            replicated.reported(now);
+            replicated.recordReport(now);
             if (owner != QuotaOwnership.NO_OWNER) outbox.queueReport(peers.get(owner), replicated);
         } else if (isSyncDue(now, replicated)) {
-            replicated.reported(now);
+            replicated.recordReport(now);
             reportToOtherOwners(replicated);
         }
     }
@@ -68,7 +68,7 @@
 
     /** Returns whether enough time has passed since the last report for one that is not urgent. */
     private static boolean isSyncDue(double now, ReplicatedQuota replicated) {
-        return replicated.sinceReportMs(now) > SYNC_INTERVAL_MS;
+        return replicated.timeSinceReportMs(now) > SYNC_INTERVAL_MS;
     }
 
     private void reportToOtherOwners(ReplicatedQuota replicated) {
@@ -82,6 +82,6 @@
     /** Reports demand that exceeded the quota, at intervals rather than for each rejected request. */
     @Override
     public void quotaExhausted(double now, CustomerQuota quota) {
-        if (isReplicated(quota) && isSyncDue(now, of(quota))) changed(now, quota);
+        if (isReplicated(quota) && isSyncDue(now, stateOf(quota))) reportChange(now, quota);
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/ReplicaState.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicaState.java
@@ -10,14 +10,14 @@
  */
 final class ReplicaState {
     private final int incarnation;
-    private boolean hasBooked;
-    private double bookedUnits; // the replica's running total of used units, including the granted units
+    private boolean hasRecordedCharge;
+    private double chargedUnits; // the replica's running total of used units, including the granted units
     private double grantedUnits; // in response to its last report
     private double demandPerSecond;
     private double demandReportedAtMs;
     private int openRequests;
-    private double ceilingGiven; // running total of units given to the peer
-    private double ceilingTaken; // running total of units received from the peer
+    private double ceilingUnitsGranted; // running total for the peer
+    private double ceilingUnitsReceived; // running total from the peer
 
     ReplicaState(int incarnation) {
         this.incarnation = incarnation;
@@ -27,9 +27,9 @@
         return incarnation;
     }
 
-    /** Returns the replica's running total of used units as booked, including the granted units. */
-    double bookedUnits() {
-        return bookedUnits;
+    /** Returns the replica's running total of used units as charged, including the granted units. */
+    double chargedUnits() {
+        return chargedUnits;
     }
 
     /** Returns the units granted in response to the replica's last report. */
@@ -42,14 +42,14 @@
         return openRequests;
     }
 
-    /** Returns the running total of ceiling units given to the peer. */
-    double ceilingGiven() {
-        return ceilingGiven;
+    /** Returns the running total of ceiling units granted to the peer. */
+    double ceilingUnitsGranted() {
+        return ceilingUnitsGranted;
     }
 
     /** Returns the running total of ceiling units received from the peer. */
-    double ceilingTaken() {
-        return ceilingTaken;
+    double ceilingUnitsReceived() {
+        return ceilingUnitsReceived;
     }
 
     /** Returns the units per second demanded at the replica, decayed since its last report. */
@@ -58,44 +58,44 @@
     }
 
     /** Records the reported demand of the replica. */
-    void demandReported(double now, double perSecond) {
+    void recordDemand(double now, double perSecond) {
         demandPerSecond = perSecond;
         demandReportedAtMs = now;
     }
 
     /** Records the reported number of open requests at the replica. */
-    void openReported(int requests) {
+    void recordOpenRequests(int requests) {
         openRequests = requests;
     }
 
     /**
-     * Returns the units that the replica used in addition to those booked, negative if it refunded units; 0 before the
-     * first report is booked. A refund is limited to the units that were granted or may be in use by open requests. A
+     * Returns the units that the replica used in addition to those charged, negative if it refunded units; 0 before the
+     * first report is charged. A refund is limited to the units that were granted or may be in use by open requests. A
      * running total that drops further was restarted by a replica that had forgotten the customer, and would fill the
      * bucket.
      *
      * @param usedUnits the replica's running total of used units
      * @param maxUnits maximum units of a request
      */
-    double unbookedUnits(double usedUnits, double maxUnits) {
+    double unchargedUnits(double usedUnits, double maxUnits) {
         double maxRefundUnits = grantedUnits + openRequests * maxUnits;
-        return hasBooked ? Math.max(-maxRefundUnits, SerialArithmetic.unitsAhead(usedUnits, bookedUnits)) : 0;
+        return hasRecordedCharge ? Math.max(-maxRefundUnits, SerialArithmetic.unitsAhead(usedUnits, chargedUnits)) : 0;
     }
 
-    /** Books the replica's running total and the units granted in addition. */
-    void book(double usedUnits, double granted) {
-        hasBooked = true;
+    /** Records that the replica's running total was charged, and the units granted in addition. */
+    void recordCharge(double usedUnits, double granted) {
+        hasRecordedCharge = true;
         grantedUnits = granted;
-        bookedUnits = usedUnits + granted;
+        chargedUnits = usedUnits + granted;
     }
 
-    /** Adds ceiling units given to the peer. */
-    void gaveCeiling(double units) {
-        ceilingGiven += units;
+    /** Adds ceiling units granted to the peer. */
+    void addCeilingUnitsGranted(double units) {
+        ceilingUnitsGranted += units;
     }
 
     /** Records the running total of ceiling units received from the peer. */
-    void tookCeiling(double totalUnits) {
-        ceilingTaken = totalUnits;
+    void setCeilingUnitsReceived(double totalUnits) {
+        ceilingUnitsReceived = totalUnits;
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
@@ -28,12 +28,12 @@
     }
 
     /** Returns the time since a report on the quota was last due; infinite if none was. */
-    double sinceReportMs(double now) {
+    double timeSinceReportMs(double now) {
         return now - lastReportDueAtMs;
     }
 
     /** Records that a report on the quota is due now. */
-    void reported(double now) {
+    void recordReport(double now) {
         lastReportDueAtMs = now;
     }
 
--- a/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
@@ -37,28 +37,28 @@
         CustomerQuota quota = quotas.find(reply.customer());
         if (quota == null) return;
         quotas.refill(now, quota);
-        ReplicatedQuota replicated = replication.of(quota);
+        ReplicatedQuota replicated = replication.stateOf(quota);
         if (quota.planNumber() != reply.planNumber()) { // one of the two gateways has a wrong plan
             replicated.pendingAt(owner).forEach(decision -> decision.request().onDecision(now, false));
             return;
         }
-        receiveCeiling(quota, replicated.replica(owner), reply);
+        receiveCeilingUnits(quota, replicated.replica(owner), reply);
         List<PendingDecision> answeredDecisions = replicated.pendingAt(owner, acknowledgedSerial);
         if (!reply.uncertain()) applyOwnerView(now, quota, reply);
         decide(now, owner, reply, answeredDecisions);
     }
 
-    private static void receiveCeiling(CustomerQuota quota, ReplicaState replica, OwnerReply reply) {
-        if (reply.ceilingUnitsGiven().isEmpty()) return;
-        double givenUnits = reply.ceilingUnitsGiven().getAsDouble();
-        if (givenUnits <= replica.ceilingTaken()) return;
-        quota.receiveCeilingUnits(givenUnits, replica.ceilingTaken());
-        replica.tookCeiling(givenUnits);
+    private static void receiveCeilingUnits(CustomerQuota quota, ReplicaState replica, OwnerReply reply) {
+        if (reply.ceilingUnitsGranted().isEmpty()) return;
+        double grantedCeilingUnits = reply.ceilingUnitsGranted().getAsDouble();
+        if (grantedCeilingUnits <= replica.ceilingUnitsReceived()) return;
+        quota.receiveCeilingUnits(grantedCeilingUnits, replica.ceilingUnitsReceived());
+        replica.setCeilingUnitsReceived(grantedCeilingUnits);
     }
 
     private static void applyOwnerView(double now, CustomerQuota quota, OwnerReply reply) {
-        double unbookedUnits = SerialArithmetic.unitsAhead(quota.usedUnits(), reply.bookedUnits());
-        double sharedLevelUnits = reply.fullness() * quota.plan().burstUnits() - unbookedUnits;
+        double unchargedUnits = SerialArithmetic.unitsAhead(quota.usedUnits(), reply.chargedUnits());
+        double sharedLevelUnits = reply.fullness() * quota.plan().burstUnits() - unchargedUnits;
         quota.ownerReplied(now, reply.othersDemandPerSecond(), reply.othersOpenRequests(), sharedLevelUnits);
     }
 
@@ -79,10 +79,10 @@
         }
     }
 
-    /** Reports to the first owner, which has not booked the units that another owner granted. */
+    /** Reports to the first owner, which has not charged the units that another owner granted. */
     private void informFirstOwner(PeerState grantedBy, CustomerQuota quota) {
         int first = quota.owner(0);
         if (grantedBy.number() == first || ownership.isFirstOwner(quota)) return;
-        outbox.queueReport(peers.get(first), replication.of(quota));
+        outbox.queueReport(peers.get(first), replication.stateOf(quota));
     }
 }
--- a/src/main/java/caperrudder/policy/gossip/ReportHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReportHandler.java
@@ -5,8 +5,8 @@
 import caperrudder.policy.quota.QuotaTable;
 
 /**
- * Handles the reports of replicas to this gateway as an owner: books the units that they used and grants the units that
- * they want, if the quota admits them.
+ * Handles the reports of replicas to this gateway as an owner: charges the units that they used and grants the units
+ * that they want, if the quota admits them.
  *
  * <p>Not thread-safe.
  */
@@ -38,14 +38,15 @@
                 now, report.customer(), report.planNumber(), report.firstReplica(), report.replicaCount());
         if (quota == null || !ownership.isOwner(quota)) return;
         boolean viewAdopted = adoptView(now, peer, quota, report);
-        ReplicatedQuota replicated = replication.of(quota);
+        ReplicatedQuota replicated = replication.stateOf(quota);
         ReplicaState replica = replicated.replica(peer);
         recordDemand(now, quota, replica, report);
-        double newlyUsedUnits = viewAdopted ? 0 : replica.unbookedUnits(report.usedUnits(), maxUnits);
+        double newlyUsedUnits = viewAdopted ? 0 : replica.unchargedUnits(report.usedUnits(), maxUnits);
         recordOpenRequests(quota, replica, report);
         quota.chargeReplicaUse(newlyUsedUnits);
         double grantedUnits = grant(quota, replica, report);
-        if (newlyUsedUnits + grantedUnits != 0 && ownership.decidesLocally(now, quota)) replication.changed(now, quota);
+        if (newlyUsedUnits + grantedUnits != 0 && ownership.decidesLocally(now, quota))
+            replication.reportChange(now, quota);
         if (report.wantsReply()) outbox.queueReply(peer, replicated);
     }
 
@@ -69,27 +70,27 @@
 
     private static void recordDemand(double now, CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
         quota.replicaDemandChanged(report.demandPerSecond(), replica.demandPerSecond(now));
-        replica.demandReported(now, report.demandPerSecond());
+        replica.recordDemand(now, report.demandPerSecond());
     }
 
     private static void recordOpenRequests(CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
         quota.addReplicaOpenRequests(report.openRequests() - replica.openRequests());
-        replica.openReported(report.openRequests());
+        replica.recordOpenRequests(report.openRequests());
     }
 
-    /** Grants all wanted units or none, books them, and returns the number granted. */
+    /** Grants all wanted units or none, charges them, and returns the number granted. */
     private static double grant(CustomerQuota quota, ReplicaState replica, ReplicaReport report) {
         double wantedUnits = report.wantedUnits();
         boolean needsCeiling = report.wantsCeilingUnits() && quota.hasCeiling();
         boolean isGranted =
                 wantedUnits > 0 && quota.canGrant(wantedUnits) && (!needsCeiling || quota.ceilingAdmits(wantedUnits));
         double grantedUnits = isGranted ? wantedUnits : 0;
-        replica.book(report.usedUnits(), grantedUnits);
+        replica.recordCharge(report.usedUnits(), grantedUnits);
         quota.grant(grantedUnits);
         if (isGranted && needsCeiling && report.wantsReply()) {
             // Deducted before the reply is sent: a lost reply loses units rather than creating some.
             quota.grantCeilingUnits(wantedUnits);
-            replica.gaveCeiling(wantedUnits);
+            replica.addCeilingUnitsGranted(wantedUnits);
         }
         return grantedUnits;
     }
