--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -155,7 +155,7 @@
     private void tick(double now) {
         actions.startTimer(TICK_MS, TICK_TOKEN);
         double stalledMs = stalls.noteTick(now);
-        if (stalledMs > 0) gossip.stalled(stalledMs);
+        if (stalledMs > 0) gossip.eventLoopStalled(stalledMs);
         for (TrafficClass trafficClass : classes.all()) {
             requests.expire(now, trafficClass);
         }
--- a/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
+++ b/src/main/java/caperrudder/policy/gossip/GossipOutbox.java
@@ -9,7 +9,7 @@
 
 /**
  * Numbers, batches and sends the messages to other gateways within the rate that they accept, and filters out received
- * messages that are outdated. The entries of the messages are created by an {@link EntryWriter}.
+ * messages that are outdated. The entries of the messages are created by an {@link EntryFactory}.
  *
  * <p>Not thread-safe.
  */
@@ -24,17 +24,17 @@
     private static final double MS_PER_SECOND = 1000;
 
     /** Creates the entries of a message when it is sent. */
-    interface EntryWriter {
+    interface EntryFactory {
         /** Returns a report on a quota to one of its owners. */
-        ReplicaReport report(double now, PeerState owner, ReplicatedQuota quota);
+        ReplicaReport createReport(double now, PeerState owner, ReplicatedQuota quota);
 
         /** Returns a reply about a quota to one of its replicas. */
-        OwnerReply reply(double now, PeerState replica, ReplicatedQuota quota);
+        OwnerReply createReply(double now, PeerState replica, ReplicatedQuota quota);
     }
 
     private final int gatewayCount;
     private final PolicyActions actions;
-    private final EntryWriter writer;
+    private final EntryFactory entryFactory;
     private final double messagesPerMs;
     private final int incarnation;
     private final Deque<PeerState> queue = new ArrayDeque<>();
@@ -42,10 +42,11 @@
     private double allowanceRefilledAtMs;
 
     /** @param acceptedPerSecond messages per second that a gateway accepts from all others */
-    GossipOutbox(double now, int gatewayCount, double acceptedPerSecond, PolicyActions actions, EntryWriter writer) {
+    GossipOutbox(
+            double now, int gatewayCount, double acceptedPerSecond, PolicyActions actions, EntryFactory entryFactory) {
         this.gatewayCount = gatewayCount;
         this.actions = actions;
-        this.writer = writer;
+        this.entryFactory = entryFactory;
         this.messagesPerMs = Math.max(1, acceptedPerSecond) * ACCEPTED_RATE_SHARE / MS_PER_SECOND;
         this.incarnation = incarnationAt(now);
         this.allowanceRefilledAtMs = now;
@@ -102,26 +103,26 @@
     private void send(double now, PeerState peer) {
         List<QuotaEntry> entries = new ArrayList<>();
         peer.advanceSerial();
-        writeReplies(now, peer, entries);
-        writeReports(now, peer, entries);
+        addReplies(now, peer, entries);
+        addReports(now, peer, entries);
         peer.recordSent(now);
         QuotaMessage message = new QuotaMessage(
                 incarnation, peer.incarnation(), peer.lastSentSerial(), peer.lastReceivedSerial(), entries);
         actions.sendToPeer(peer.number(), QuotaMessageCodec.encode(message));
     }
 
-    private void writeReplies(double now, PeerState peer, List<QuotaEntry> entries) {
+    private void addReplies(double now, PeerState peer, List<QuotaEntry> entries) {
         Iterator<ReplicatedQuota> due = peer.dueReplies().iterator();
         while (due.hasNext() && entries.size() < MAX_ENTRIES_PER_MESSAGE) {
-            entries.add(writer.reply(now, peer, due.next()));
+            entries.add(entryFactory.createReply(now, peer, due.next()));
             due.remove();
         }
     }
 
-    private void writeReports(double now, PeerState peer, List<QuotaEntry> entries) {
+    private void addReports(double now, PeerState peer, List<QuotaEntry> entries) {
         Iterator<ReplicatedQuota> due = peer.dueReports().iterator();
         while (due.hasNext() && entries.size() < MAX_ENTRIES_PER_MESSAGE) {
-            entries.add(writer.report(now, peer, due.next()));
+            entries.add(entryFactory.createReport(now, peer, due.next()));
             due.remove();
         }
     }
--- a/src/main/java/caperrudder/policy/gossip/OwnerReply.java
+++ b/src/main/java/caperrudder/policy/gossip/OwnerReply.java
@@ -7,9 +7,9 @@
  *
  * @param chargedUnits the receiver's running total of used units as charged by the owner, including the granted units
  * @param grantedUnits units granted in response to the receiver's last report
- * @param othersDemandPerSecond units per second demanded at all gateways except the receiver
- * @param othersOpenRequests number of requests open at all gateways except the receiver
- * @param fullness fill ratio of the shared bucket, -1 to 1
+ * @param peerDemandPerSecond units per second demanded at all gateways except the receiver
+ * @param peerOpenRequests number of requests open at all gateways except the receiver
+ * @param fillRatio fill ratio of the shared bucket, -1 to 1
  * @param uncertain whether the owner started recently and does not know which units were used before
  * @param ceilingUnitsGranted running total of the ceiling units granted to the receiver, counted from the later
  *     start of the two gateways; empty if the plan has no ceiling
@@ -19,9 +19,9 @@
         int planNumber,
         double chargedUnits,
         double grantedUnits,
-        double othersDemandPerSecond,
-        int othersOpenRequests,
-        double fullness,
+        double peerDemandPerSecond,
+        int peerOpenRequests,
+        double fillRatio,
         boolean uncertain,
         OptionalDouble ceilingUnitsGranted)
         implements QuotaEntry {}
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -34,7 +34,7 @@
         this.quotas = quotas;
         this.ownership = ownership;
         double acceptedPerSecond = settings.coordination().peerMessagesPerSecond();
-        this.outbox = new GossipOutbox(now, peers.size(), acceptedPerSecond, actions, new CurrentEntryWriter());
+        this.outbox = new GossipOutbox(now, peers.size(), acceptedPerSecond, actions, new CurrentEntryFactory());
         this.replication = new QuotaReplication(settings, ownership, outbox);
         this.decisions = new PendingDecisions(quotas, ownership, replication, outbox);
         this.reports = new ReportHandler(settings, quotas, ownership, replication, outbox);
@@ -99,8 +99,8 @@
     }
 
     /** Extends the reply deadlines after this gateway's event loop was stalled. */
-    public void stalled(double ms) {
-        decisions.extendReplyDeadlines(ms);
+    public void eventLoopStalled(double stalledMs) {
+        decisions.extendReplyDeadlines(stalledMs);
     }
 
     /**
@@ -113,9 +113,9 @@
     }
 
     /** Creates each entry when its message is sent, so that it carries the current state. */
-    private final class CurrentEntryWriter implements GossipOutbox.EntryWriter {
+    private final class CurrentEntryFactory implements GossipOutbox.EntryFactory {
         @Override
-        public ReplicaReport report(double now, PeerState owner, ReplicatedQuota replicated) {
+        public ReplicaReport createReport(double now, PeerState owner, ReplicatedQuota replicated) {
             CustomerQuota quota = replicated.quota();
             quotas.refill(now, quota);
             replicated.recordReportTo(owner);
@@ -147,7 +147,7 @@
         }
 
         @Override
-        public OwnerReply reply(double now, PeerState replicaPeer, ReplicatedQuota replicated) {
+        public OwnerReply createReply(double now, PeerState replicaPeer, ReplicatedQuota replicated) {
             CustomerQuota quota = replicated.quota();
             quotas.refill(now, quota);
             ReplicaState replica = replicated.replica(replicaPeer);
--- a/src/main/java/caperrudder/policy/gossip/QuotaMessageCodec.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaMessageCodec.java
@@ -70,7 +70,7 @@
                     + (reply.ceilingUnitsGranted().isPresent() ? CEILING_BYTES : 0);
         }
         ReplicaReport report = (ReplicaReport) entry;
-        return COMMON_ENTRY_BYTES + REPLICA_SET_BYTES + (report.fullness().isPresent() ? FILL_RATIO_BYTES : 0);
+        return COMMON_ENTRY_BYTES + REPLICA_SET_BYTES + (report.fillRatio().isPresent() ? FILL_RATIO_BYTES : 0);
     }
 
     private static void writeEntry(ByteBuffer buffer, QuotaEntry entry) {
@@ -81,15 +81,15 @@
     private static void writeReport(ByteBuffer buffer, ReplicaReport report) {
         int flags = (report.wantsReply() ? FLAG_WANTS_REPLY : 0)
                 | (report.wantsCeilingUnits() ? FLAG_CEILING : 0)
-                | (report.fullness().isPresent() ? FLAG_FILL_RATIO : 0);
+                | (report.fillRatio().isPresent() ? FLAG_FILL_RATIO : 0);
         writeFlagsAndCustomer(buffer, flags, report);
         buffer.putShort((short) report.firstReplica()).putShort((short) report.replicaCount());
         writeTotal(buffer, report.usedUnits());
         writeUnits(buffer, report.wantedUnits());
         writeUnits(buffer, report.demandPerSecond());
         buffer.putShort(clampToUnsignedShort(report.openRequests()));
-        if (report.fullness().isPresent())
-            writeFillRatio(buffer, report.fullness().getAsDouble());
+        if (report.fillRatio().isPresent())
+            writeFillRatio(buffer, report.fillRatio().getAsDouble());
     }
 
     private static void writeReply(ByteBuffer buffer, OwnerReply reply) {
@@ -98,9 +98,9 @@
         writeFlagsAndCustomer(buffer, flags, reply);
         writeTotal(buffer, reply.chargedUnits());
         writeUnits(buffer, reply.grantedUnits());
-        writeUnits(buffer, reply.othersDemandPerSecond());
-        buffer.putShort(clampToUnsignedShort(reply.othersOpenRequests()));
-        writeFillRatio(buffer, reply.fullness());
+        writeUnits(buffer, reply.peerDemandPerSecond());
+        buffer.putShort(clampToUnsignedShort(reply.peerOpenRequests()));
+        writeFillRatio(buffer, reply.fillRatio());
         if (hasCeiling) writeTotal(buffer, reply.ceilingUnitsGranted().getAsDouble());
     }
 
--- a/src/main/java/caperrudder/policy/gossip/ReplicaReport.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicaReport.java
@@ -11,7 +11,7 @@
  * @param wantedUnits additional units needed by the requests that await a decision at the sender
  * @param demandPerSecond units per second demanded at the sender
  * @param openRequests number of requests open at the sender
- * @param fullness fill ratio of the shared bucket as known to the sender, -1 to 1; empty if that is stale
+ * @param fillRatio fill ratio of the shared bucket as known to the sender, -1 to 1; empty if that is stale
  * @param wantsReply whether the owner must reply
  * @param wantsCeilingUnits whether the wanted units are also needed from the ceiling bucket
  */
@@ -24,7 +24,7 @@
         double wantedUnits,
         double demandPerSecond,
         int openRequests,
-        OptionalDouble fullness,
+        OptionalDouble fillRatio,
         boolean wantsReply,
         boolean wantsCeilingUnits)
         implements QuotaEntry {}
--- a/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplyHandler.java
@@ -58,8 +58,8 @@
 
     private static void applyOwnerView(double now, CustomerQuota quota, OwnerReply reply) {
         double unchargedUnits = SerialArithmetic.unitsAhead(quota.usedUnits(), reply.chargedUnits());
-        double sharedLevelUnits = reply.fullness() * quota.plan().burstUnits() - unchargedUnits;
-        quota.ownerReplied(now, reply.othersDemandPerSecond(), reply.othersOpenRequests(), sharedLevelUnits);
+        double sharedLevelUnits = reply.fillRatio() * quota.plan().burstUnits() - unchargedUnits;
+        quota.ownerReplied(now, reply.peerDemandPerSecond(), reply.peerOpenRequests(), sharedLevelUnits);
     }
 
     private void decide(double now, PeerState owner, OwnerReply reply, List<PendingDecision> answeredDecisions) {
--- a/src/main/java/caperrudder/policy/gossip/ReportHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReportHandler.java
@@ -61,10 +61,10 @@
      * uncertain. Returns whether the view was taken over.
      */
     private boolean adoptView(double now, PeerState peer, CustomerQuota quota, ReplicaReport report) {
-        if (report.fullness().isEmpty()) return false;
+        if (report.fillRatio().isEmpty()) return false;
         boolean uncertain = ownership.isUncertain(now, quota);
         if (!uncertain && ownership.decidingOwner(now, quota, 0) != peer.number()) return false;
-        quota.adoptFillRatio(report.fullness().getAsDouble(), uncertain);
+        quota.adoptFillRatio(report.fillRatio().getAsDouble(), uncertain);
         return true;
     }
 
--- a/src/test/java/caperrudder/policy/QuotaSharingTest.java
+++ b/src/test/java/caperrudder/policy/QuotaSharingTest.java
@@ -172,7 +172,7 @@
                 .findFirst()
                 .orElseThrow();
         assertEquals(4, answer.grantedUnits());
-        assertEquals(8.0 / 12, answer.fullness(), 0.05);
+        assertEquals(8.0 / 12, answer.fillRatio(), 0.05);
     }
 
     @Test
