--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -52,8 +52,8 @@
     }
 
     private void recordFirstAttempt(double now, PendingRequest request) {
-        retries.noteFirstAttempt();
-        request.trafficClass().noteHold(now - request.arrivedAt());
+        retries.recordFirstAttempt();
+        request.trafficClass().recordQueueDelay(now - request.arrivedAt());
         if (request.quota() != null) request.quota().requestSent(request.units());
     }
 }
--- a/src/main/java/caperrudder/policy/AttemptFeedback.java
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -36,7 +36,7 @@
         TrafficClass trafficClass = request.trafficClass();
         loadBalancer.recordResult(now, attempt.endpoint(), trafficClass.spec(), attempt.expectedWorkMs(), result);
         if (result.outcome() == Outcome.OK) recordServed(now, request, result);
-        if (result.outcome() == Outcome.TIMEOUT) limit.noteTimeout();
+        if (result.outcome() == Outcome.TIMEOUT) limit.recordTimeout();
         if (request.quota() != null) {
             admission.recordMeteredUse(now, request.quota(), request, result.quotaUsedPercentPlusOne());
         }
@@ -46,9 +46,9 @@
         TrafficClass trafficClass = request.trafficClass();
         double objectiveMs = trafficClass.spec().latencyObjectiveMs();
         double responseTimeMs = now - request.arrivedAt();
-        trafficClass.noteServed(result.latencyMs(), responseTimeMs, request.units());
-        overdueShare.note(responseTimeMs > objectiveMs);
-        limit.noteResponse(result.latencyMs(), trafficClass.latency().baseMs(request.units()), objectiveMs);
+        trafficClass.recordServedRequest(result.latencyMs(), responseTimeMs, request.units());
+        overdueShare.record(responseTimeMs > objectiveMs);
+        limit.recordResponse(result.latencyMs(), trafficClass.latency().baseMs(request.units()), objectiveMs);
         if (request.quota() != null && chargesActualUnits && result.actualUnits() > 0) {
             request.quota().charge(result.actualUnits() - request.units());
         }
--- a/src/main/java/caperrudder/policy/EventLoopStalls.java
+++ b/src/main/java/caperrudder/policy/EventLoopStalls.java
@@ -20,7 +20,7 @@
     }
 
     /** Records a tick. Returns the duration in milliseconds of the stall before it, or 0 if there was none. */
-    double noteTick(double now) {
+    double recordTick(double now) {
         double delayMs = now - lastTickAt - tickMs;
         lastTickAt = now;
         if (delayMs <= tickMs) return 0;
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -78,7 +78,7 @@
     void expire(double now, TrafficClass trafficClass) {
         for (PendingRequest request :
                 scheduler.waiting(trafficClass, waiting -> now >= RequestExpiry.expiresAt(waiting))) {
-            trafficClass.noteHold(now - request.arrivedAt());
+            trafficClass.recordQueueDelay(now - request.arrivedAt());
             completeUnserved(request); // also removes it from the queue
         }
     }
@@ -106,7 +106,7 @@
      * harmless (rule 2), otherwise a failure.
      */
     void completeUnserved(PendingRequest request) {
-        if (request.isAdmitted() && !request.isClosed()) overdueShare.note(true);
+        if (request.isAdmitted() && !request.isClosed()) overdueShare.record(true);
         boolean harmless = RetryPolicy.isRejectionHarmless(request);
         close(request);
         // A retry can expect a slot once the requests that are queued now have been dispatched.
--- a/src/main/java/caperrudder/policy/RetryPolicy.java
+++ b/src/main/java/caperrudder/policy/RetryPolicy.java
@@ -16,7 +16,7 @@
     }
 
     /** Records the first attempt of a request, which earns a fraction of a retry. */
-    void noteFirstAttempt() {
+    void recordFirstAttempt() {
         budget.earn();
     }
 
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -154,7 +154,7 @@
     /** Runs the periodic work. Requests are dispatched last, because expired and overdue ones may free slots. */
     private void tick(double now) {
         actions.startTimer(TICK_MS, TICK_TOKEN);
-        double stalledMs = stalls.noteTick(now);
+        double stalledMs = stalls.recordTick(now);
         if (stalledMs > 0) gossip.eventLoopStalled(stalledMs);
         for (TrafficClass trafficClass : classes.all()) {
             requests.expire(now, trafficClass);
--- a/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
@@ -60,7 +60,7 @@
     }
 
     /** Charges the class for a request that has just left the queue. */
-    void noteDispatched(double now, R request) {
+    void recordDispatch(double now, R request) {
         virtualTime += request.expectedWorkMs() / trafficClass.weight().weight();
         boolean backlogged = !queue.isEmpty();
         if (backlogged && lastDispatchAt > NEVER) {
--- a/src/main/java/caperrudder/policy/scheduling/ClassWeight.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassWeight.java
@@ -32,7 +32,7 @@
     }
 
     /** Records the queue delay of a request that has left the queue. */
-    void noteHold(double queueDelayMs) {
+    void recordQueueDelay(double queueDelayMs) {
         tickDelaySumMs += queueDelayMs;
         tickRequestCount++;
     }
@@ -41,7 +41,7 @@
      * Adds the latency of a successful attempt to the delay of its request, which was counted when it left the queue. A
      * latency that is not positive counts as one more request.
      */
-    void noteLatency(double latencyMs) {
+    void recordLatency(double latencyMs) {
         tickDelaySumMs += latencyMs;
         if (!(latencyMs > 0)) tickRequestCount++;
     }
--- a/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
+++ b/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
@@ -77,11 +77,11 @@
     }
 
     /** Records that no slot was free for a dispatch. */
-    void noteSaturated() {
+    void recordSaturation() {
         saturated = true;
     }
 
-    /** Whether {@link #noteSaturated} was called since the last call of this method; resets the flag. */
+    /** Whether {@link #recordSaturation} was called since the last call of this method; resets the flag. */
     boolean takeSaturated() {
         boolean wasSaturated = saturated;
         saturated = false;
@@ -95,7 +95,7 @@
      * @param baseMs time that it would have taken on hosts without queues
      * @param objectiveMs latency objective of its class
      */
-    public void noteResponse(double latencyMs, double baseMs, double objectiveMs) {
+    public void recordResponse(double latencyMs, double baseMs, double objectiveMs) {
         latencySumMs += latencyMs;
         baseLatencySumMs += baseMs;
         objectiveShareSum += latencyMs / objectiveMs;
@@ -103,7 +103,7 @@
     }
 
     /** Records an attempt that timed out. */
-    public void noteTimeout() {
+    public void recordTimeout() {
         timeoutCount++;
     }
 
--- a/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
+++ b/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
@@ -78,7 +78,7 @@
             if (next == NO_QUEUE) return;
             if (!dispatchFrom(now, queues.get(next))) blocked[next] = true;
         }
-        limit.noteSaturated();
+        limit.recordSaturation();
     }
 
     /** Returns the index of the queue with the smallest virtual time that is neither empty nor blocked. */
@@ -101,7 +101,7 @@
             if (destination == null) continue;
             waiting.remove();
             virtualTime = Math.max(virtualTime, queue.virtualTime());
-            queue.noteDispatched(now, request);
+            queue.recordDispatch(now, request);
             dispatcher.dispatch(now, request, destination);
             return true;
         }
--- a/src/main/java/caperrudder/policy/scheduling/LatencyEstimate.java
+++ b/src/main/java/caperrudder/policy/scheduling/LatencyEstimate.java
@@ -42,7 +42,7 @@
     }
 
     /** Adds the latency of a successful attempt. */
-    public void add(double latencyMs, double units) {
+    public void addSample(double latencyMs, double units) {
         double sampleMs = latencyMs / Math.max(MIN_UNITS, units);
         samples++;
         perUnitMs += Math.max(MIN_SAMPLE_GAIN, 1.0 / samples) * (sampleMs - perUnitMs);
--- a/src/main/java/caperrudder/policy/scheduling/OverdueShare.java
+++ b/src/main/java/caperrudder/policy/scheduling/OverdueShare.java
@@ -10,7 +10,7 @@
     private double share;
 
     /** Records an admitted request that has been answered or has expired. */
-    public void note(boolean overdue) {
+    public void record(boolean overdue) {
         share += SAMPLE_GAIN * ((overdue ? 1 : 0) - share);
     }
 
--- a/src/main/java/caperrudder/policy/scheduling/ResponseTimeHistogram.java
+++ b/src/main/java/caperrudder/policy/scheduling/ResponseTimeHistogram.java
@@ -17,7 +17,7 @@
     private double totalCount;
 
     /** Adds a sample; {@code multiple} is the response time divided by the expected latency, 0 or more. */
-    public void add(double multiple) {
+    public void addSample(double multiple) {
         for (int bucket = 0; bucket < BUCKET_COUNT; bucket++) {
             counts[bucket] *= COUNT_RETENTION;
         }
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
@@ -46,8 +46,8 @@
     }
 
     /** Records the queue delay of a request that was dispatched for the first time or has expired. */
-    public void noteHold(double queueDelayMs) {
-        weight.noteHold(queueDelayMs);
+    public void recordQueueDelay(double queueDelayMs) {
+        weight.recordQueueDelay(queueDelayMs);
     }
 
     /**
@@ -57,10 +57,10 @@
      * @param responseTimeMs time since its arrival
      * @param units its size in quota units
      */
-    public void noteServed(double latencyMs, double responseTimeMs, double units) {
-        latency.add(latencyMs, units);
-        weight.noteLatency(latencyMs);
-        responseTimes.add(responseTimeMs / Math.max(MIN_EXPECTED_MS, latency.expectedMs(units)));
+    public void recordServedRequest(double latencyMs, double responseTimeMs, double units) {
+        latency.addSample(latencyMs, units);
+        weight.recordLatency(latencyMs);
+        responseTimes.addSample(responseTimeMs / Math.max(MIN_EXPECTED_MS, latency.expectedMs(units)));
     }
 
     /**
--- a/src/test/java/caperrudder/policy/scheduling/ConcurrencyLimitTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/ConcurrencyLimitTest.java
@@ -16,7 +16,7 @@
 
     private void respond(int count, double latencyMs, double baseMs) {
         for (int i = 0; i < count; i++) {
-            limit.noteResponse(latencyMs, baseMs, OBJECTIVE_MS);
+            limit.recordResponse(latencyMs, baseMs, OBJECTIVE_MS);
         }
     }
 
@@ -35,7 +35,7 @@
     @Test
     void limitGrowsIfSaturatedAndLatencyIsLow() {
         respond(8, 30, 30);
-        limit.noteSaturated();
+        limit.recordSaturation();
         limit.adapt(INTERVAL_MS);
         assertEquals(6 * 1.15, limit.perHost(), 1e-9);
     }
@@ -51,7 +51,7 @@
     void limitShrinksToItsMinimumWhileLatencyIsInflated() {
         for (int interval = 1; interval <= 20; interval++) {
             respond(8, 200, 100);
-            limit.noteSaturated();
+            limit.recordSaturation();
             limit.adapt(interval * INTERVAL_MS);
         }
         assertEquals(3, limit.perHost());
@@ -61,7 +61,7 @@
     void limitShrinksIfMostAttemptsTimeOut() {
         respond(3, 30, 30);
         for (int i = 0; i < 5; i++) {
-            limit.noteTimeout();
+            limit.recordTimeout();
         }
         limit.adapt(INTERVAL_MS);
         assertEquals(6 * 0.85, limit.perHost(), 1e-9);
@@ -78,7 +78,7 @@
 
     @Test
     void saturatedFlagIsResetWhenRead() {
-        limit.noteSaturated();
+        limit.recordSaturation();
         assertTrue(limit.takeSaturated());
         assertFalse(limit.takeSaturated());
     }
--- a/src/test/java/caperrudder/policy/scheduling/LatencyEstimateTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/LatencyEstimateTest.java
@@ -17,26 +17,26 @@
 
     @Test
     void firstSampleReplacesTheInitialEstimate() {
-        estimate.add(60, 2);
+        estimate.addSample(60, 2);
         assertEquals(30, estimate.expectedMs(1), 1e-9);
         assertEquals(1, estimate.samples());
     }
 
     @Test
     void smallRequestsAreEstimatedAsATenthOfAUnit() {
-        estimate.add(30, 1);
+        estimate.addSample(30, 1);
         assertEquals(3, estimate.expectedMs(0), 1e-9);
     }
 
     @Test
     void baseFollowsLowerLatenciesAtOnceAndHigherOnesSlowly() {
         for (int i = 0; i < 40; i++) {
-            estimate.add(30, 1);
+            estimate.addSample(30, 1);
         }
         estimate.updateBase();
         assertEquals(30, estimate.baseMs(1), 1e-9);
         for (int i = 0; i < 40; i++) {
-            estimate.add(300, 1);
+            estimate.addSample(300, 1);
         }
         estimate.updateBase();
         assertEquals(30 * 1.002, estimate.baseMs(1), 1e-9);
--- a/src/test/java/caperrudder/policy/scheduling/ResponseTimeHistogramTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/ResponseTimeHistogramTest.java
@@ -17,7 +17,7 @@
     @Test
     void shareGrowsWithTheMultiple() {
         for (int i = 0; i < 100; i++) {
-            histogram.add(i % 2 == 0 ? 0.5 : 3);
+            histogram.addSample(i % 2 == 0 ? 0.5 : 3);
         }
         assertTrue(histogram.shareWithin(0.2) < 0.1);
         assertEquals(0.5, histogram.shareWithin(1.5), 0.05);
@@ -27,10 +27,10 @@
     @Test
     void olderSamplesDecay() {
         for (int i = 0; i < 100; i++) {
-            histogram.add(3);
+            histogram.addSample(3);
         }
         for (int i = 0; i < 300; i++) {
-            histogram.add(0.5);
+            histogram.addSample(0.5);
         }
         assertTrue(histogram.shareWithin(1) > 0.9);
     }
