--- a/src/main/java/caperrudder/policy/AttemptFeedback.java
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -5,14 +5,14 @@
 import caperrudder.policy.loadbalancing.LoadBalancer;
 import caperrudder.policy.quota.AdmissionControl;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
-import caperrudder.policy.scheduling.OverdueShare;
+import caperrudder.policy.scheduling.LateRequestShare;
 import caperrudder.policy.scheduling.TrafficClass;
 
 /** Records the results of attempts in all statistics that depend on them. Confined to the policy's thread. */
 final class AttemptFeedback {
     private final LoadBalancer loadBalancer;
     private final ConcurrencyLimit limit;
-    private final OverdueShare overdueShare;
+    private final LateRequestShare lateRequestShare;
     private final AdmissionControl admission;
     private final boolean chargesActualUnits;
 
@@ -20,12 +20,12 @@
     AttemptFeedback(
             LoadBalancer loadBalancer,
             ConcurrencyLimit limit,
-            OverdueShare overdueShare,
+            LateRequestShare lateRequestShare,
             AdmissionControl admission,
             boolean chargesActualUnits) {
         this.loadBalancer = loadBalancer;
         this.limit = limit;
-        this.overdueShare = overdueShare;
+        this.lateRequestShare = lateRequestShare;
         this.admission = admission;
         this.chargesActualUnits = chargesActualUnits;
     }
@@ -47,7 +47,7 @@
         double objectiveMs = trafficClass.spec().latencyObjectiveMs();
         double responseTimeMs = now - request.arrivedAt();
         trafficClass.recordServedRequest(result.latencyMs(), responseTimeMs, request.units());
-        overdueShare.record(responseTimeMs > objectiveMs);
+        lateRequestShare.record(responseTimeMs > objectiveMs);
         limit.recordResponse(result.latencyMs(), trafficClass.latency().baseMs(request.units()), objectiveMs);
         if (request.quota() != null && chargesActualUnits && result.actualUnits() > 0) {
             request.quota().charge(result.actualUnits() - request.units());
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -9,7 +9,7 @@
 import caperrudder.policy.quota.QuotaTable;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
 import caperrudder.policy.scheduling.FairScheduler;
-import caperrudder.policy.scheduling.OverdueShare;
+import caperrudder.policy.scheduling.LateRequestShare;
 import caperrudder.policy.scheduling.TrafficClass;
 
 /**
@@ -25,7 +25,7 @@
     private final ConcurrencyLimit limit;
     private final LoadBalancer loadBalancer;
     private final QuotaGossip gossip;
-    private final OverdueShare overdueShare;
+    private final LateRequestShare lateRequestShare;
 
     RequestLifecycle(
             PolicyActions actions,
@@ -35,7 +35,7 @@
             ConcurrencyLimit limit,
             LoadBalancer loadBalancer,
             QuotaGossip gossip,
-            OverdueShare overdueShare) {
+            LateRequestShare lateRequestShare) {
         this.actions = actions;
         this.limits = limits;
         this.retryAfter = new RetryAfter(limits);
@@ -44,7 +44,7 @@
         this.limit = limit;
         this.loadBalancer = loadBalancer;
         this.gossip = gossip;
-        this.overdueShare = overdueShare;
+        this.lateRequestShare = lateRequestShare;
     }
 
     /** Admits a request: charges its quota and appends it to the queue of its class. */
@@ -106,7 +106,7 @@
      * harmless (rule 2), otherwise a failure.
      */
     void completeUnserved(PendingRequest request) {
-        if (request.isAdmitted() && !request.isClosed()) overdueShare.record(true);
+        if (request.isAdmitted() && !request.isClosed()) lateRequestShare.record(true);
         boolean harmless = RetryPolicy.isRejectionHarmless(request);
         close(request);
         // A retry can expect a slot once the requests that are queued now have been dispatched.
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -18,7 +18,7 @@
 import caperrudder.policy.quota.QuotaTable;
 import caperrudder.policy.scheduling.ConcurrencyLimit;
 import caperrudder.policy.scheduling.FairScheduler;
-import caperrudder.policy.scheduling.OverdueShare;
+import caperrudder.policy.scheduling.LateRequestShare;
 import caperrudder.policy.scheduling.TrafficClass;
 import caperrudder.policy.scheduling.TrafficClasses;
 import caperrudder.policy.scheduling.WeightController;
@@ -80,19 +80,20 @@
     }
 
     private void createRequestHandling(double now, Settings settings) {
-        OverdueShare overdueShare = new OverdueShare();
+        LateRequestShare lateRequestShare = new LateRequestShare();
         QuotaOwnership ownership = new QuotaOwnership(now, settings);
         quotas = new QuotaTable(now, settings, ownership);
         gossip = new QuotaGossip(now, settings, quotas, ownership, actions);
-        AdmissionControl control = new AdmissionControl(settings, quotas, ownership, gossip, overdueShare::share);
+        AdmissionControl control = new AdmissionControl(settings, quotas, ownership, gossip, lateRequestShare::share);
         RetryPolicy retries = new RetryPolicy(settings.limits());
         OutstandingAttempts outstanding = new OutstandingAttempts(limit, loadBalancer, stalls);
         AttemptDispatcher dispatcher = new AttemptDispatcher(actions, loadBalancer, outstanding, retries);
         FairScheduler<PendingRequest, Endpoint> scheduler = new FairScheduler<>(classes.all(), limit, dispatcher);
         boolean chargesActualUnits = settings.coordination().postPaid();
-        AttemptFeedback feedback = new AttemptFeedback(loadBalancer, limit, overdueShare, control, chargesActualUnits);
+        AttemptFeedback feedback =
+                new AttemptFeedback(loadBalancer, limit, lateRequestShare, control, chargesActualUnits);
         requests = new RequestLifecycle(
-                actions, settings.limits(), pending, scheduler, limit, loadBalancer, gossip, overdueShare);
+                actions, settings.limits(), pending, scheduler, limit, loadBalancer, gossip, lateRequestShare);
         attempts = new AttemptLifecycle(actions, requests, outstanding, retries, feedback, loadBalancer);
         admission = new RequestAdmission(pending, quotas, control, gossip, requests);
     }
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -31,17 +31,17 @@
     private final DemandShares shares;
     private final OwnerLocator owners;
     private final QuotaExhaustionListener exhaustionListener;
-    private final DoubleSupplier overdueShare;
+    private final DoubleSupplier lateRequestShare;
     private final Map<Integer, ExpectedValueAdmission> firstRequestAdmissionByPlan = new HashMap<>();
     private final Map<Integer, ExpectedValueAdmission> clientRetryAdmissionByPlan = new HashMap<>();
 
-    /** @param overdueShare supplies the share, 0 to 1, of recently admitted requests that were served late */
+    /** @param lateRequestShare supplies the share, 0 to 1, of recently admitted requests that were served late */
     public AdmissionControl(
             Settings settings,
             QuotaTable table,
             OwnerLocator owners,
             QuotaExhaustionListener exhaustionListener,
-            DoubleSupplier overdueShare) {
+            DoubleSupplier lateRequestShare) {
         UsageSource source = UsageSource.of(settings);
         this.usesPeerMessages = source == UsageSource.PEERS;
         this.usesMeter = source == UsageSource.METER;
@@ -50,7 +50,7 @@
         this.shares = new DemandShares(source, owners);
         this.owners = owners;
         this.exhaustionListener = exhaustionListener;
-        this.overdueShare = overdueShare;
+        this.lateRequestShare = lateRequestShare;
     }
 
     /**
@@ -130,7 +130,7 @@
      * alone reports what other gateways admit.
      */
     private boolean isWorthAdmitting(double now, CustomerQuota quota, QuotaRequest request) {
-        double delayCostShare = DELAYED_REQUESTS_PER_ADMISSION * overdueShare.getAsDouble();
+        double delayCostShare = DELAYED_REQUESTS_PER_ADMISSION * lateRequestShare.getAsDouble();
         MeteredUse meter = quota.meter();
         return expectedValueAdmission(quota, request)
                 .admits(
