--- a/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
@@ -61,7 +61,8 @@
 
     /** Charges the class for a request that has just left the queue. */
     void recordDispatch(double now, R request) {
-        virtualTime += request.expectedWorkMs() / trafficClass.weight().weight();
+        virtualTime +=
+                request.expectedWorkMs() / trafficClass.schedulingWeight().weight();
         boolean backlogged = !queue.isEmpty();
         if (backlogged && lastDispatchAt > NEVER) {
             dispatchGapMs += DISPATCH_GAP_GAIN * (now - lastDispatchAt - dispatchGapMs);
--- a/src/main/java/caperrudder/policy/scheduling/ClassWeight.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassWeight.java
@@ -7,10 +7,10 @@
  */
 final class ClassWeight {
     /** Minimum weight, as a share of the sum of all weights, so that no class starves. */
-    static final double MIN = 0.02;
+    static final double MIN_WEIGHT = 0.02;
 
     /** Relative tolerance around the delay goal within which a class keeps its weight; epsilon in page PAPER. */
-    static final double EPSILON = 0.1;
+    static final double GOAL_TOLERANCE_RATIO = 0.1;
 
     private static final double DELAY_RETENTION = 0.7; // of the smoothed delay at each tick; alpha in page PAPER
     private static final double GOAL_OBJECTIVE_SHARE = 0.6; // delay goal as a share of the latency objective
@@ -64,7 +64,7 @@
         double weightGain = weight - previousWeight;
         if (previousWeight > 0 && Math.abs(weightGain) > MIN_SLOPE_WEIGHT_CHANGE) {
             double measured = -(delayMs - previousDelayMs) / weightGain;
-            if (measured > goalMs * EPSILON) slope = measured;
+            if (measured > goalMs * GOAL_TOLERANCE_RATIO) slope = measured;
         }
         previousWeight = weight;
         previousDelayMs = delayMs;
@@ -76,31 +76,32 @@
     }
 
     /** Whether the class needs more weight, because its delay exceeds the goal by more than the tolerance. */
-    boolean isUnderweight() {
-        return delayRatio() >= 1 + EPSILON;
+    boolean needsMoreWeight() {
+        return delayRatio() >= 1 + GOAL_TOLERANCE_RATIO;
     }
 
-    /** Returns the weight that an underweight class needs in addition so that its delay falls to the goal. */
-    double wantedWeight() {
+    /** Returns the weight that the class needs in addition so that its delay falls to the goal. */
+    double weightDeficit() {
         return slope > 0 ? (delayMs - goalMs) / slope : INITIAL_WEIGHT_STEP;
     }
 
-    /** Returns the weight that the class could lose before its delay reaches the goal, or 0 if it is not overweight. */
-    double surplus() {
-        if (delayMs > (1 - EPSILON) * goalMs) return 0;
+    /** Returns the weight that the class could lose before its delay reaches the goal, or 0 if it has no surplus. */
+    double weightSurplus() {
+        if (delayMs > (1 - GOAL_TOLERANCE_RATIO) * goalMs) return 0;
         return (goalMs - delayMs) / (slope > 0 ? slope : goalMs);
     }
 
     /**
-     * Returns the weight that an overweight class can lose before its delay reaches the tolerance band around the goal.
+     * Returns the weight that a class with a surplus can lose before its delay reaches the tolerance band around the
+     * goal.
      */
-    double largestGift() {
-        return slope > 0 ? ((1 - EPSILON) * goalMs - delayMs) / slope : INITIAL_WEIGHT_STEP;
+    double maxDonation() {
+        return slope > 0 ? ((1 - GOAL_TOLERANCE_RATIO) * goalMs - delayMs) / slope : INITIAL_WEIGHT_STEP;
     }
 
-    /** Gives up the wanted weight, but keeps the minimum; returns the weight that was given up. */
-    double give(double wanted) {
-        double donated = Math.max(0, Math.min(wanted, weight - MIN));
+    /** Gives up weight, but keeps the minimum; returns the weight that was given up. */
+    double donate(double wanted) {
+        double donated = Math.max(0, Math.min(wanted, weight - MIN_WEIGHT));
         weight -= donated;
         return donated;
     }
@@ -117,7 +118,7 @@
         slope = restoredSlope;
     }
 
-    /** Returns the share of the dispatched work that the class is entitled to, from {@link #MIN} to 1. */
+    /** Returns the share of the dispatched work that the class is entitled to, from {@link #MIN_WEIGHT} to 1. */
     double weight() {
         return weight;
     }
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
@@ -13,7 +13,7 @@
     private final RequestClass spec;
     private final LatencyEstimate latency;
     private final ResponseTimeHistogram responseTimes = new ResponseTimeHistogram();
-    private final ClassWeight weight;
+    private final ClassWeight schedulingWeight;
 
     /**
      * Creates a class without statistics.
@@ -24,7 +24,7 @@
     public TrafficClass(RequestClass spec, double initialWeight, double maxUnits) {
         this.spec = spec;
         this.latency = LatencyEstimate.initial(spec.latencyObjectiveMs(), maxUnits);
-        this.weight = new ClassWeight(spec.latencyObjectiveMs(), initialWeight);
+        this.schedulingWeight = new ClassWeight(spec.latencyObjectiveMs(), initialWeight);
     }
 
     /** Returns the class as configured in the settings. */
@@ -41,13 +41,13 @@
         return latency;
     }
 
-    ClassWeight weight() {
-        return weight;
+    ClassWeight schedulingWeight() {
+        return schedulingWeight;
     }
 
     /** Records the queue delay of a request that was dispatched for the first time or has expired. */
     public void recordQueueDelay(double queueDelayMs) {
-        weight.recordQueueDelay(queueDelayMs);
+        schedulingWeight.recordQueueDelay(queueDelayMs);
     }
 
     /**
@@ -59,7 +59,7 @@
      */
     public void recordServedRequest(double latencyMs, double responseTimeMs, double units) {
         latency.addSample(latencyMs, units);
-        weight.recordLatency(latencyMs);
+        schedulingWeight.recordLatency(latencyMs);
         responseTimes.addSample(responseTimeMs / Math.max(MIN_EXPECTED_MS, latency.expectedMs(units)));
     }
 
@@ -76,17 +76,17 @@
     public ClassSnapshot snapshot() {
         return new ClassSnapshot(
                 spec.name(),
-                weight.weight(),
+                schedulingWeight.weight(),
                 latency.perUnitMs(),
                 latency.basePerUnitMs(),
                 latency.samples(),
-                weight.delayMs(),
-                weight.slope());
+                schedulingWeight.delayMs(),
+                schedulingWeight.slope());
     }
 
     /** Restores the statistics that the predecessor saved. */
     void restore(ClassSnapshot snapshot) {
-        weight.restore(snapshot.weight(), snapshot.delayMs(), snapshot.delaySlopeMs());
+        schedulingWeight.restore(snapshot.weight(), snapshot.delayMs(), snapshot.delaySlopeMs());
         latency.restore(snapshot.latencyPerUnitMs(), snapshot.baseLatencyPerUnitMs(), snapshot.latencySampleCount());
     }
 }
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
@@ -35,7 +35,7 @@
     }
 
     private static double priority(RequestClass spec) {
-        return Math.max(ClassWeight.MIN, spec.priorityWeight());
+        return Math.max(ClassWeight.MIN_WEIGHT, spec.priorityWeight());
     }
 
     /** Returns the class of this name, or null if the settings do not define it. */
--- a/src/main/java/caperrudder/policy/scheduling/WeightController.java
+++ b/src/main/java/caperrudder/policy/scheduling/WeightController.java
@@ -4,10 +4,10 @@
 
 /**
  * Moves scheduling weight between traffic classes so that each meets its delay goal, by the donation algorithm of page
- * PAPER (DESIGN: Donation). At each interval the underweight class that misses its goal the most receives weight from
- * the overweight classes, in proportion to their surplus. Weight moves only if no slot of the concurrency limit was
- * free at some time during the interval. The interval doubles after each donation, so that delays settle. Confined to
- * the policy's thread.
+ * PAPER (DESIGN: Donation). At each interval the class that misses its goal the most receives weight from those
+ * that stay below their goals, in proportion to their surplus. Weight moves only if no slot of the concurrency limit
+ * was free at some time during the interval. The interval doubles after each donation, so that delays settle. Confined
+ * to the policy's thread.
  */
 public final class WeightController {
     private static final double APPLIED_DONATION_SHARE = 0.5; // of a computed donation; beta in page PAPER
@@ -34,7 +34,7 @@
         if (now - delaysAveragedAt < DELAY_AVERAGING_MS) return;
         delaysAveragedAt = now;
         for (TrafficClass trafficClass : classes) {
-            trafficClass.weight().endTick();
+            trafficClass.schedulingWeight().endTick();
         }
         if (now - donationCheckedAt < donationIntervalMs) return;
         donationCheckedAt = now;
@@ -45,40 +45,40 @@
 
     private boolean measureAndDonate() {
         for (TrafficClass trafficClass : classes) {
-            trafficClass.weight().measureSlope();
+            trafficClass.schedulingWeight().measureSlope();
         }
-        return donate(classes.stream().map(TrafficClass::weight).toList());
+        return donate(classes.stream().map(TrafficClass::schedulingWeight).toList());
     }
 
     /**
-     * Makes one donation, which keeps the sum of all weights. Returns false if no weight moved, because no class is
-     * underweight or none has a surplus.
+     * Makes one donation, which keeps the sum of all weights. Returns false if no weight moved, because no class needs
+     * more weight or none has a surplus.
      */
     static boolean donate(List<ClassWeight> weights) {
-        ClassWeight worst = worstUnderweight(weights);
+        ClassWeight receiver = findReceiver(weights);
         double totalSurplus = 0;
         for (ClassWeight donor : weights) {
-            totalSurplus += donor.surplus();
+            totalSurplus += donor.weightSurplus();
         }
-        if (worst == null || totalSurplus <= 0) return false;
-        double wanted = worst.wantedWeight();
+        if (receiver == null || totalSurplus <= 0) return false;
+        double deficit = receiver.weightDeficit();
         double donated = 0;
         for (ClassWeight donor : weights) {
-            if (donor.surplus() <= 0) continue;
-            donated += donor.give(
-                    APPLIED_DONATION_SHARE * Math.min(wanted * donor.surplus() / totalSurplus, donor.largestGift()));
+            if (donor.weightSurplus() <= 0) continue;
+            donated += donor.donate(APPLIED_DONATION_SHARE
+                    * Math.min(deficit * donor.weightSurplus() / totalSurplus, donor.maxDonation()));
         }
-        worst.receive(donated);
+        receiver.receive(donated);
         return donated > 0;
     }
 
-    /** Returns the underweight class whose delay exceeds its goal by the largest ratio, or null if there is none. */
-    private static ClassWeight worstUnderweight(List<ClassWeight> weights) {
-        ClassWeight worst = null;
+    /** Returns the class whose delay exceeds its goal by the largest ratio, or null if none needs more weight. */
+    private static ClassWeight findReceiver(List<ClassWeight> weights) {
+        ClassWeight receiver = null;
         for (ClassWeight weight : weights) {
-            if (!weight.isUnderweight()) continue;
-            if (worst == null || weight.delayRatio() > worst.delayRatio()) worst = weight;
+            if (!weight.needsMoreWeight()) continue;
+            if (receiver == null || weight.delayRatio() > receiver.delayRatio()) receiver = weight;
         }
-        return worst;
+        return receiver;
     }
 }
--- a/src/test/java/caperrudder/policy/scheduling/WeightControllerTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/WeightControllerTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void weightsStayPositiveAndDoNotMoveIfAllClassesAreUnderweight() {
+    void weightsStayPositiveAndDoNotMoveIfAllClassesNeedMoreWeight() {
         ClassWeight light = weight(0.03, 10, 0.0001);
         ClassWeight heavy = weight(0.97, 9000, 10);
         WeightController.donate(List.of(light, heavy));
