--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -34,7 +34,7 @@
         return loadBalancer.pick(
                 now,
                 new PlacementRequest(
-                        request.trafficClass().spec(),
+                        request.trafficClass().requestClass(),
                         request.expectedWorkMs(),
                         retries.isRepeatable(now, request),
                         mayHaveRunOn,
--- a/src/main/java/caperrudder/policy/AttemptFeedback.java
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -34,7 +34,8 @@
     void record(double now, Attempt attempt, AttemptResult result) {
         PendingRequest request = attempt.request();
         TrafficClass trafficClass = request.trafficClass();
-        loadBalancer.recordResult(now, attempt.endpoint(), trafficClass.spec(), attempt.expectedWorkMs(), result);
+        loadBalancer.recordResult(
+                now, attempt.endpoint(), trafficClass.requestClass(), attempt.expectedWorkMs(), result);
         if (result.outcome() == Outcome.OK) recordServed(now, request, result);
         if (result.outcome() == Outcome.TIMEOUT) limit.recordTimeout();
         if (request.quota() != null) {
@@ -44,11 +45,11 @@
 
     private void recordServed(double now, PendingRequest request, AttemptResult result) {
         TrafficClass trafficClass = request.trafficClass();
-        double objectiveMs = trafficClass.spec().latencyObjectiveMs();
+        double objectiveMs = trafficClass.requestClass().latencyObjectiveMs();
         double responseTimeMs = now - request.arrivedAt();
         trafficClass.recordServedRequest(result.latencyMs(), responseTimeMs, request.units());
         lateRequestShare.record(responseTimeMs > objectiveMs);
-        limit.recordResponse(result.latencyMs(), trafficClass.latency().baseMs(request.units()), objectiveMs);
+        limit.recordResponse(result.latencyMs(), trafficClass.latencyEstimate().baseMs(request.units()), objectiveMs);
         if (request.quota() != null && chargesActualUnits && result.actualUnits() > 0) {
             request.quota().charge(result.actualUnits() - request.units());
         }
--- a/src/main/java/caperrudder/policy/AttemptLifecycle.java
+++ b/src/main/java/caperrudder/policy/AttemptLifecycle.java
@@ -80,7 +80,7 @@
     private void handleOverdue(double now, Attempt attempt) {
         PendingRequest request = attempt.request();
         loadBalancer.recordOverdue(
-                now, attempt.endpoint(), request.trafficClass().spec());
+                now, attempt.endpoint(), request.trafficClass().requestClass());
         if (retries.shouldCancel(now, attempt)) actions.cancelAttempt(request.id(), attempt.number());
     }
 }
--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -55,7 +55,7 @@
 
     @Override
     public double expectedWorkMs() {
-        return trafficClass.latency().expectedMs(request.units());
+        return trafficClass.latencyEstimate().expectedMs(request.units());
     }
 
     @Override
@@ -71,7 +71,7 @@
     @Override
     public double expectedValueShare() {
         double inTimeShare = trafficClass.shareWithinObjective(expectedWorkMs());
-        return inTimeShare + (1 - inTimeShare) * trafficClass.spec().lateValueShare();
+        return inTimeShare + (1 - inTimeShare) * trafficClass.requestClass().lateValueShare();
     }
 
     /** Returns the quota of the customer; null if the settings do not define its plan or the quota table is full. */
--- a/src/main/java/caperrudder/policy/RequestExpiry.java
+++ b/src/main/java/caperrudder/policy/RequestExpiry.java
@@ -30,10 +30,11 @@
             double timeToDeadlineMs = request.deadline() - arrivedAt;
             latestAt = Math.min(latestAt, arrivedAt + UNDELIVERED_DEADLINE_SHARE * timeToDeadlineMs);
         }
-        RequestClass spec = request.trafficClass().spec();
-        double objectiveMs = spec.latencyObjectiveMs();
-        double usefulUntil =
-                spec.lateValueShare() >= MIN_USEFUL_LATE_VALUE ? latestAt : Math.min(latestAt, arrivedAt + objectiveMs);
+        RequestClass requestClass = request.trafficClass().requestClass();
+        double objectiveMs = requestClass.latencyObjectiveMs();
+        double usefulUntil = requestClass.lateValueShare() >= MIN_USEFUL_LATE_VALUE
+                ? latestAt
+                : Math.min(latestAt, arrivedAt + objectiveMs);
         double queueDelayMs = usefulUntil - arrivedAt - MIN_REMAINING_WORK_MULTIPLE * request.expectedWorkMs();
         return Math.min(latestAt, arrivedAt + Math.max(MIN_QUEUE_DELAY_OBJECTIVE_SHARE * objectiveMs, queueDelayMs));
     }
--- a/src/main/java/caperrudder/policy/RetryPolicy.java
+++ b/src/main/java/caperrudder/policy/RetryPolicy.java
@@ -24,7 +24,7 @@
     boolean isRepeatable(double now, PendingRequest request) {
         Attempt mayHaveRun = request.firstThatMayHaveRun();
         return mayHaveRun == null
-                || safety.isRepeatable(now, request.trafficClass().spec(), mayHaveRun.sentAt());
+                || safety.isRepeatable(now, request.trafficClass().requestClass(), mayHaveRun.sentAt());
     }
 
     /** Whether a request whose attempts have ended may be sent again; if so, spends a token of the retry budget. */
@@ -45,7 +45,7 @@
         boolean useful = !request.isClosed()
                 && !request.isResponding()
                 && now + attempt.expectedWorkMs() < RequestExpiry.expiresAt(request);
-        boolean safe = RetrySafety.mayRunTwice(request.trafficClass().spec()) && limits.cancellation();
+        boolean safe = RetrySafety.mayRunTwice(request.trafficClass().requestClass()) && limits.cancellation();
         return useful && safe && budget.hasToken();
     }
 
@@ -55,6 +55,6 @@
      */
     static boolean isRejectionHarmless(PendingRequest request) {
         return !request.mayHaveRun()
-                || RetrySafety.isRepeatableByClient(request.trafficClass().spec());
+                || RetrySafety.isRepeatableByClient(request.trafficClass().requestClass());
     }
 }
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -202,7 +202,7 @@
         for (QuotaSnapshot quota : snapshot.quotas()) {
             quotas.restore(now, snapshot.takenAtMs(), quota);
         }
-        if (!pending.isEmpty() || classes.haveSamples()) return;
+        if (!pending.isEmpty() || classes.hasSamples()) return;
         limit.restore(snapshot.concurrencyLimitPerHost());
         loadBalancer.restore(now, snapshot.health());
         classes.restore(snapshot.classes());
--- a/src/main/java/caperrudder/policy/retry/RetrySafety.java
+++ b/src/main/java/caperrudder/policy/retry/RetrySafety.java
@@ -28,28 +28,28 @@
      *
      * @param firstSentAt time at which the first attempt that may have run was sent, on the same clock as {@code now}
      */
-    public boolean isRepeatable(double now, RequestClass spec, double firstSentAt) {
+    public boolean isRepeatable(double now, RequestClass requestClass, double firstSentAt) {
         double arrivesBy = now + connectTimeoutMs;
-        return spec.idempotency() == Idempotency.IDEMPOTENT
-                || (spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && arrivesBy < firstSentAt + USABLE_WINDOW_SHARE * spec.deduplicationWindowMs());
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && arrivesBy < firstSentAt + USABLE_WINDOW_SHARE * requestClass.deduplicationWindowMs());
     }
 
     /**
      * Returns whether a client can safely repeat a request that may have run. Its retry can reach any host, so that an
      * idempotency key must be known to all of them.
      */
-    public static boolean isRepeatableByClient(RequestClass spec) {
-        return spec.idempotency() == Idempotency.IDEMPOTENT
-                || (spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && spec.deduplicationScope() == DeduplicationScope.ALL);
+    public static boolean isRepeatableByClient(RequestClass requestClass) {
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /**
      * Returns whether a second attempt may be sent while the first may still run. Only then can a slow attempt be
      * cancelled and replaced.
      */
-    public static boolean mayRunTwice(RequestClass spec) {
-        return spec.idempotency() != Idempotency.NOT_IDEMPOTENT;
+    public static boolean mayRunTwice(RequestClass requestClass) {
+        return requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
     }
 }
--- a/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
+++ b/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
@@ -141,7 +141,7 @@
         responseCount = 0;
         timeoutCount = 0;
         for (TrafficClass trafficClass : classes) {
-            trafficClass.latency().updateBase();
+            trafficClass.latencyEstimate().updateBase();
         }
     }
 
--- a/src/main/java/caperrudder/policy/scheduling/LatencyEstimate.java
+++ b/src/main/java/caperrudder/policy/scheduling/LatencyEstimate.java
@@ -14,7 +14,7 @@
 
     private double perUnitMs;
     private double basePerUnitMs;
-    private int samples;
+    private int sampleCount;
 
     private LatencyEstimate(double perUnitMs) {
         this.perUnitMs = perUnitMs;
@@ -44,8 +44,8 @@
     /** Adds the latency of a successful attempt. */
     public void addSample(double latencyMs, double units) {
         double sampleMs = latencyMs / Math.max(MIN_UNITS, units);
-        samples++;
-        perUnitMs += Math.max(MIN_SAMPLE_GAIN, 1.0 / samples) * (sampleMs - perUnitMs);
+        sampleCount++;
+        perUnitMs += Math.max(MIN_SAMPLE_GAIN, 1.0 / sampleCount) * (sampleMs - perUnitMs);
     }
 
     /**
@@ -53,15 +53,15 @@
      * higher ones slowly.
      */
     void updateBase() {
-        double maxBaseMs = samples < MIN_BASE_SAMPLES ? perUnitMs : basePerUnitMs * BASE_GROWTH_FACTOR;
+        double maxBaseMs = sampleCount < MIN_BASE_SAMPLES ? perUnitMs : basePerUnitMs * BASE_GROWTH_FACTOR;
         basePerUnitMs = Math.min(maxBaseMs, perUnitMs);
     }
 
     /** Restores the state that the predecessor saved. */
-    void restore(double restoredPerUnitMs, double restoredBasePerUnitMs, int restoredSamples) {
+    void restore(double restoredPerUnitMs, double restoredBasePerUnitMs, int restoredSampleCount) {
         perUnitMs = restoredPerUnitMs;
         basePerUnitMs = restoredBasePerUnitMs;
-        samples = restoredSamples;
+        sampleCount = restoredSampleCount;
     }
 
     /** Returns the moving average of the latency per quota unit. */
@@ -75,7 +75,7 @@
     }
 
     /** Returns the number of successful attempts that were added, including those of the predecessor. */
-    public int samples() {
-        return samples;
+    public int sampleCount() {
+        return sampleCount;
     }
 }
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClass.java
@@ -10,8 +10,8 @@
 public final class TrafficClass {
     private static final double MIN_EXPECTED_MS = 1; // bounds multiples of a very small expected latency
 
-    private final RequestClass spec;
-    private final LatencyEstimate latency;
+    private final RequestClass requestClass;
+    private final LatencyEstimate latencyEstimate;
     private final ResponseTimeHistogram responseTimes = new ResponseTimeHistogram();
     private final ClassWeight schedulingWeight;
 
@@ -21,24 +21,24 @@
      * @param initialWeight the class's share of the sum of all priority weights, over 0 and at most 1
      * @param maxUnits quota units of the largest request that the settings allow
      */
-    public TrafficClass(RequestClass spec, double initialWeight, double maxUnits) {
-        this.spec = spec;
-        this.latency = LatencyEstimate.initial(spec.latencyObjectiveMs(), maxUnits);
-        this.schedulingWeight = new ClassWeight(spec.latencyObjectiveMs(), initialWeight);
+    public TrafficClass(RequestClass requestClass, double initialWeight, double maxUnits) {
+        this.requestClass = requestClass;
+        this.latencyEstimate = LatencyEstimate.initial(requestClass.latencyObjectiveMs(), maxUnits);
+        this.schedulingWeight = new ClassWeight(requestClass.latencyObjectiveMs(), initialWeight);
     }
 
     /** Returns the class as configured in the settings. */
-    public RequestClass spec() {
-        return spec;
+    public RequestClass requestClass() {
+        return requestClass;
     }
 
     public String name() {
-        return spec.name();
+        return requestClass.name();
     }
 
     /** Returns the latency estimate of the class's attempts. */
-    public LatencyEstimate latency() {
-        return latency;
+    public LatencyEstimate latencyEstimate() {
+        return latencyEstimate;
     }
 
     ClassWeight schedulingWeight() {
@@ -58,9 +58,9 @@
      * @param units its size in quota units
      */
     public void recordServedRequest(double latencyMs, double responseTimeMs, double units) {
-        latency.addSample(latencyMs, units);
+        latencyEstimate.addSample(latencyMs, units);
         schedulingWeight.recordLatency(latencyMs);
-        responseTimes.addSample(responseTimeMs / Math.max(MIN_EXPECTED_MS, latency.expectedMs(units)));
+        responseTimes.addSample(responseTimeMs / Math.max(MIN_EXPECTED_MS, latencyEstimate.expectedMs(units)));
     }
 
     /**
@@ -69,17 +69,17 @@
      * @param expectedMs expected latency of the requests, which depends on their size
      */
     public double shareWithinObjective(double expectedMs) {
-        return responseTimes.shareWithin(spec.latencyObjectiveMs() / Math.max(MIN_EXPECTED_MS, expectedMs));
+        return responseTimes.shareWithin(requestClass.latencyObjectiveMs() / Math.max(MIN_EXPECTED_MS, expectedMs));
     }
 
     /** Returns the statistics of the class for the successor. */
     public ClassSnapshot snapshot() {
         return new ClassSnapshot(
-                spec.name(),
+                requestClass.name(),
                 schedulingWeight.weight(),
-                latency.perUnitMs(),
-                latency.basePerUnitMs(),
-                latency.samples(),
+                latencyEstimate.perUnitMs(),
+                latencyEstimate.basePerUnitMs(),
+                latencyEstimate.sampleCount(),
                 schedulingWeight.delayMs(),
                 schedulingWeight.slope());
     }
@@ -87,6 +87,7 @@
     /** Restores the statistics that the predecessor saved. */
     void restore(ClassSnapshot snapshot) {
         schedulingWeight.restore(snapshot.weight(), snapshot.delayMs(), snapshot.delaySlopeMs());
-        latency.restore(snapshot.latencyPerUnitMs(), snapshot.baseLatencyPerUnitMs(), snapshot.latencySampleCount());
+        latencyEstimate.restore(
+                snapshot.latencyPerUnitMs(), snapshot.baseLatencyPerUnitMs(), snapshot.latencySampleCount());
     }
 }
--- a/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
+++ b/src/main/java/caperrudder/policy/scheduling/TrafficClasses.java
@@ -25,17 +25,18 @@
         double prioritySum = settings.classes().stream()
                 .mapToDouble(TrafficClasses::priority)
                 .sum();
-        for (RequestClass spec : settings.classes()) {
-            double share = priority(spec) / prioritySum;
+        for (RequestClass requestClass : settings.classes()) {
+            double share = priority(requestClass) / prioritySum;
             byName.put(
-                    spec.name(),
-                    new TrafficClass(spec, share, settings.coordination().maxUnits()));
+                    requestClass.name(),
+                    new TrafficClass(
+                            requestClass, share, settings.coordination().maxUnits()));
         }
         all = List.copyOf(byName.values());
     }
 
-    private static double priority(RequestClass spec) {
-        return Math.max(ClassWeight.MIN_WEIGHT, spec.priorityWeight());
+    private static double priority(RequestClass requestClass) {
+        return Math.max(ClassWeight.MIN_WEIGHT, requestClass.priorityWeight());
     }
 
     /** Returns the class of this name, or null if the settings do not define it. */
@@ -49,9 +50,9 @@
     }
 
     /** Whether the latency of any attempt has been recorded. */
-    public boolean haveSamples() {
+    public boolean hasSamples() {
         for (TrafficClass trafficClass : all) {
-            if (trafficClass.latency().samples() > 0) return true;
+            if (trafficClass.latencyEstimate().sampleCount() > 0) return true;
         }
         return false;
     }
--- a/src/test/java/caperrudder/policy/retry/RetrySafetyTest.java
+++ b/src/test/java/caperrudder/policy/retry/RetrySafetyTest.java
@@ -17,12 +17,12 @@
 
     private final RetrySafety safety = new RetrySafety(CONNECT_TIMEOUT_MS);
 
-    private static RequestClass spec(Idempotency idempotency, DeduplicationScope scope) {
+    private static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
         return new RequestClass("class", idempotency, scope, WINDOW_MS, 1000, 3000, 1, 0, false);
     }
 
     private boolean isRepeatable(Idempotency idempotency, double afterMs) {
-        return safety.isRepeatable(SENT_AT + afterMs, spec(idempotency, DeduplicationScope.ALL), SENT_AT);
+        return safety.isRepeatable(SENT_AT + afterMs, requestClass(idempotency, DeduplicationScope.ALL), SENT_AT);
     }
 
     @Test
@@ -44,11 +44,11 @@
     @Test
     void clientMayRepeatIfAllHostsDropDuplicates() {
         for (DeduplicationScope scope : DeduplicationScope.values()) {
-            assertTrue(RetrySafety.isRepeatableByClient(spec(Idempotency.IDEMPOTENT, scope)));
-            assertFalse(RetrySafety.isRepeatableByClient(spec(Idempotency.NOT_IDEMPOTENT, scope)));
+            assertTrue(RetrySafety.isRepeatableByClient(requestClass(Idempotency.IDEMPOTENT, scope)));
+            assertFalse(RetrySafety.isRepeatableByClient(requestClass(Idempotency.NOT_IDEMPOTENT, scope)));
             assertEquals(
                     scope == DeduplicationScope.ALL,
-                    RetrySafety.isRepeatableByClient(spec(Idempotency.IDEMPOTENCY_KEY, scope)));
+                    RetrySafety.isRepeatableByClient(requestClass(Idempotency.IDEMPOTENCY_KEY, scope)));
         }
     }
 }
--- a/src/test/java/caperrudder/policy/scheduling/FairSchedulerTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/FairSchedulerTest.java
@@ -45,9 +45,9 @@
     }
 
     private static TrafficClass trafficClass(String name, double weight) {
-        RequestClass spec =
+        RequestClass requestClass =
                 new RequestClass(name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1000, 3000, 1, 0, false);
-        return new TrafficClass(spec, weight, 4);
+        return new TrafficClass(requestClass, weight, 4);
     }
 
     private void enqueue(TrafficClass trafficClass, String... names) {
--- a/src/test/java/caperrudder/policy/scheduling/LatencyEstimateTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/LatencyEstimateTest.java
@@ -12,14 +12,14 @@
     @Test
     void initialEstimateForTheLargestRequestIsAFifthOfTheObjective() {
         assertEquals(200, estimate.expectedMs(4), 1e-9);
-        assertEquals(0, estimate.samples());
+        assertEquals(0, estimate.sampleCount());
     }
 
     @Test
     void firstSampleReplacesTheInitialEstimate() {
         estimate.addSample(60, 2);
         assertEquals(30, estimate.expectedMs(1), 1e-9);
-        assertEquals(1, estimate.samples());
+        assertEquals(1, estimate.sampleCount());
     }
 
     @Test
