--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -77,7 +77,7 @@
     /** Answers the queued requests of a class that have expired. */
     void expire(double now, TrafficClass trafficClass) {
         for (PendingRequest request :
-                scheduler.waiting(trafficClass, waiting -> now >= RequestExpiry.expiresAt(waiting))) {
+                scheduler.queuedRequests(trafficClass, queued -> now >= RequestExpiry.expiresAt(queued))) {
             trafficClass.recordQueueDelay(now - request.arrivedAt());
             completeUnserved(request); // also removes it from the queue
         }
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -190,7 +190,7 @@
     @Override
     public PolicySnapshot takeSnapshot(double now) {
         return new PolicySnapshot(
-                now, limit.perHost(), quotas.snapshot(now), loadBalancer.takeSnapshot(), classes.snapshot());
+                now, limit.limitPerHost(), quotas.snapshot(now), loadBalancer.takeSnapshot(), classes.snapshot());
     }
 
     /**
--- a/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
+++ b/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
@@ -26,7 +26,7 @@
 
     private final int gatewayCount;
     private final List<TrafficClass> classes;
-    private double attemptsPerHost = INITIAL_ATTEMPTS_PER_HOST;
+    private double limitPerHost = INITIAL_ATTEMPTS_PER_HOST;
     private int inUse;
     private boolean saturated; // since the flag was last read
     private double adaptedAt;
@@ -57,7 +57,7 @@
      * @param capacity of the hosts in use, as a number of healthy hosts that are not in slow start
      */
     public double slots(double capacity) {
-        double evenShare = attemptsPerHost * Math.max(1, capacity) / gatewayCount;
+        double evenShare = limitPerHost * Math.max(1, capacity) / gatewayCount;
         return Math.max(1, evenShare + BURST_SLOT_FACTOR * Math.sqrt(evenShare) * (1 - 1.0 / gatewayCount));
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** Whether {@link #recordSaturation} was called since the last call of this method; resets the flag. */
-    boolean takeSaturated() {
+    boolean getAndClearSaturated() {
         boolean wasSaturated = saturated;
         saturated = false;
         return wasSaturated;
@@ -117,8 +117,8 @@
                 && now - adaptedAt < MAX_INTERVALS_PER_ADAPTATION * ADAPTATION_INTERVAL_MS) return;
         adaptedAt = now;
         if (ended > 0) {
-            if (isCongested()) attemptsPerHost = Math.max(MIN_ATTEMPTS_PER_HOST, attemptsPerHost * DECREASE_FACTOR);
-            else if (saturated) attemptsPerHost = Math.min(MAX_ATTEMPTS_PER_HOST, attemptsPerHost * INCREASE_FACTOR);
+            if (isCongested()) limitPerHost = Math.max(MIN_ATTEMPTS_PER_HOST, limitPerHost * DECREASE_FACTOR);
+            else if (saturated) limitPerHost = Math.min(MAX_ATTEMPTS_PER_HOST, limitPerHost * INCREASE_FACTOR);
         }
         beginInterval();
     }
@@ -146,12 +146,12 @@
     }
 
     /** Returns the limit of attempts in flight at one host from all gateways together, for the snapshot. */
-    public double perHost() {
-        return attemptsPerHost;
+    public double limitPerHost() {
+        return limitPerHost;
     }
 
     /** Restores the limit per host from a snapshot, clamped to its bounds. */
-    public void restore(double restoredPerHost) {
-        attemptsPerHost = Math.max(MIN_ATTEMPTS_PER_HOST, Math.min(MAX_ATTEMPTS_PER_HOST, restoredPerHost));
+    public void restore(double restoredLimitPerHost) {
+        limitPerHost = Math.max(MIN_ATTEMPTS_PER_HOST, Math.min(MAX_ATTEMPTS_PER_HOST, restoredLimitPerHost));
     }
 }
--- a/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
+++ b/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
@@ -58,7 +58,7 @@
     }
 
     /** Returns a copy of the requests in the queue of a class that meet a condition, head first. */
-    public List<R> waiting(TrafficClass trafficClass, Predicate<R> condition) {
+    public List<R> queuedRequests(TrafficClass trafficClass, Predicate<R> condition) {
         return queueOf(trafficClass).matching(condition);
     }
 
--- a/src/main/java/caperrudder/policy/scheduling/WeightController.java
+++ b/src/main/java/caperrudder/policy/scheduling/WeightController.java
@@ -38,7 +38,7 @@
         }
         if (now - donationCheckedAt < donationIntervalMs) return;
         donationCheckedAt = now;
-        boolean donated = limit.takeSaturated() && measureAndDonate();
+        boolean donated = limit.getAndClearSaturated() && measureAndDonate();
         donationIntervalMs =
                 donated ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2) : MIN_DONATION_INTERVAL_MS;
     }
--- a/src/test/java/caperrudder/policy/scheduling/ConcurrencyLimitTest.java
+++ b/src/test/java/caperrudder/policy/scheduling/ConcurrencyLimitTest.java
@@ -37,14 +37,14 @@
         respond(8, 30, 30);
         limit.recordSaturation();
         limit.adapt(INTERVAL_MS);
-        assertEquals(6 * 1.15, limit.perHost(), 1e-9);
+        assertEquals(6 * 1.15, limit.limitPerHost(), 1e-9);
     }
 
     @Test
     void limitStaysIfNotSaturated() {
         respond(8, 30, 30);
         limit.adapt(INTERVAL_MS);
-        assertEquals(6, limit.perHost());
+        assertEquals(6, limit.limitPerHost());
     }
 
     @Test
@@ -54,7 +54,7 @@
             limit.recordSaturation();
             limit.adapt(interval * INTERVAL_MS);
         }
-        assertEquals(3, limit.perHost());
+        assertEquals(3, limit.limitPerHost());
     }
 
     @Test
@@ -64,30 +64,30 @@
             limit.recordTimeout();
         }
         limit.adapt(INTERVAL_MS);
-        assertEquals(6 * 0.85, limit.perHost(), 1e-9);
+        assertEquals(6 * 0.85, limit.limitPerHost(), 1e-9);
     }
 
     @Test
     void adaptationIsPostponedUpToEightIntervalsWithFewResponses() {
         respond(2, 200, 100);
         limit.adapt(INTERVAL_MS);
-        assertEquals(6, limit.perHost());
+        assertEquals(6, limit.limitPerHost());
         limit.adapt(8 * INTERVAL_MS);
-        assertEquals(6 * 0.85, limit.perHost(), 1e-9);
+        assertEquals(6 * 0.85, limit.limitPerHost(), 1e-9);
     }
 
     @Test
     void saturatedFlagIsResetWhenRead() {
         limit.recordSaturation();
-        assertTrue(limit.takeSaturated());
-        assertFalse(limit.takeSaturated());
+        assertTrue(limit.getAndClearSaturated());
+        assertFalse(limit.getAndClearSaturated());
     }
 
     @Test
     void restoredLimitIsClampedToItsBounds() {
         limit.restore(1000);
-        assertEquals(128, limit.perHost());
+        assertEquals(128, limit.limitPerHost());
         limit.restore(0);
-        assertEquals(3, limit.perHost());
+        assertEquals(3, limit.limitPerHost());
     }
 }
