--- a/src/main/java/caperrudder/policy/Attempt.java
+++ b/src/main/java/caperrudder/policy/Attempt.java
@@ -66,7 +66,7 @@
      *
      * @param totalStalledMs total duration of the event loop's stalls so far
      */
-    void beginWork(double now, double totalStalledMs) {
+    void startWork(double now, double totalStalledMs) {
         working = true;
         sentAt = now;
         stalledMsAtStart = totalStalledMs;
@@ -83,7 +83,7 @@
     }
 
     /** Records the outcome that was reported for the attempt. */
-    void end(Outcome outcome) {
+    void recordOutcome(Outcome outcome) {
         open = false;
         if (!outcome.provesNotExecuted()) return;
         delivery = outcome == Outcome.REJECTED ? Delivery.REJECTED : Delivery.NOT_DELIVERED;
@@ -100,7 +100,7 @@
     }
 
     /** Whether the endpoint may have received the complete request; false only if it is known not to have. */
-    boolean mayHaveArrived() {
+    boolean mayHaveBeenDelivered() {
         return delivery != Delivery.NOT_DELIVERED;
     }
 
--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -29,7 +29,7 @@
 
     @Override
     public Endpoint findDestination(double now, PendingRequest request) {
-        Attempt mayHaveRun = request.firstThatMayHaveRun();
+        Attempt mayHaveRun = request.firstAttemptThatMayHaveRun();
         Host mayHaveRunOn = mayHaveRun == null ? null : mayHaveRun.endpoint().host();
         return loadBalancer.pick(
                 now,
@@ -47,7 +47,7 @@
         Attempt attempt = request.addAttempt(endpoint, now);
         if (isFirst) recordFirstAttempt(now, request);
         loadBalancer.attemptSent(endpoint);
-        if (!request.isBodyPending()) outstanding.begin(now, attempt);
+        if (!request.isBodyPending()) outstanding.startWork(now, attempt);
         actions.sendAttempt(request.id(), endpoint.id(), NO_TIMEOUT);
     }
 
--- a/src/main/java/caperrudder/policy/AttemptLifecycle.java
+++ b/src/main/java/caperrudder/policy/AttemptLifecycle.java
@@ -35,9 +35,9 @@
     /** Handles the arrival of the last byte of a request's body: the endpoints begin to work on its open attempts. */
     void requestBodyCompleted(double now, PendingRequest request, double deadline) {
         if (!request.isBodyPending()) return;
-        request.complete(now, deadline);
+        request.markBodyComplete(now, deadline);
         for (Attempt attempt : request.attempts()) {
-            if (attempt.isOpen()) outstanding.begin(now, attempt);
+            if (attempt.isOpen()) outstanding.startWork(now, attempt);
         }
     }
 
@@ -48,28 +48,28 @@
     void responseStarted(double now, PendingRequest request, int attemptNumber) {
         request.markResponding();
         Attempt attempt = request.attempt(attemptNumber);
-        if (attempt != null) outstanding.end(attempt);
+        if (attempt != null) outstanding.endWork(attempt);
         requests.dispatch(now);
     }
 
     /** Handles the end of an attempt: closes its request, retries it, or answers it without a response from a host. */
-    void ended(double now, PendingRequest request, AttemptResult result) {
+    void attemptEnded(double now, PendingRequest request, AttemptResult result) {
         Attempt attempt = request.attempt(result.attemptNumber());
         if (attempt == null || !attempt.isOpen()) return;
-        attempt.end(result.outcome());
-        outstanding.end(attempt);
+        attempt.recordOutcome(result.outcome());
+        outstanding.endWork(attempt);
         feedback.record(now, attempt, result);
         if (result.requestClosed()) requests.close(request);
-        else if (!request.isClosed() && !request.hasOpenAttempt()) retryOrComplete(now, request, result.outcome());
+        else if (!request.isClosed() && !request.hasOpenAttempt()) retryOrAnswer(now, request, result.outcome());
         requests.forgetIfEnded(request);
         requests.dispatch(now);
     }
 
-    private void retryOrComplete(double now, PendingRequest request, Outcome outcome) {
-        // If nothing was sent the request is not retried, even though takeRetry has spent a token of the budget.
-        boolean shouldRetry = retries.takeRetry(now, request) && outcome != Outcome.NOT_SENT;
+    private void retryOrAnswer(double now, PendingRequest request, Outcome outcome) {
+        // If nothing was sent the request is not retried, even though tryAcquireRetry has spent a token of the budget.
+        boolean shouldRetry = retries.tryAcquireRetry(now, request) && outcome != Outcome.NOT_SENT;
         if (shouldRetry) requests.retry(request);
-        else requests.completeUnserved(request);
+        else requests.answerUnserved(request);
     }
 
     /** Records attempts that have become overdue, and cancels those whose requests can be sent elsewhere in time. */
--- a/src/main/java/caperrudder/policy/OutstandingAttempts.java
+++ b/src/main/java/caperrudder/policy/OutstandingAttempts.java
@@ -23,7 +23,7 @@
 
     /** Receives the attempts that become overdue. It may begin and end attempts. */
     interface OverdueListener {
-        void overdue(double now, Attempt attempt);
+        void attemptOverdue(double now, Attempt attempt);
     }
 
     OutstandingAttempts(ConcurrencyLimit limit, LoadBalancer loadBalancer, EventLoopStalls stalls) {
@@ -33,9 +33,9 @@
     }
 
     /** Records that the endpoint begins to work on an attempt; does nothing if it already does. */
-    void begin(double now, Attempt attempt) {
+    void startWork(double now, Attempt attempt) {
         if (attempt.isWorking()) return;
-        attempt.beginWork(now, stalls.totalMs());
+        attempt.startWork(now, stalls.totalMs());
         byEndpoint
                 .computeIfAbsent(attempt.endpoint(), endpoint -> new ArrayList<>(TYPICAL_ATTEMPTS_PER_ENDPOINT))
                 .add(attempt);
@@ -44,7 +44,7 @@
     }
 
     /** Records the end of the endpoint's work on an attempt; does nothing if the attempt is not working. */
-    void end(Attempt attempt) {
+    void endWork(Attempt attempt) {
         if (!attempt.isWorking()) return;
         attempt.endWork();
         limit.release();
@@ -60,7 +60,7 @@
             for (Attempt attempt : new ArrayList<>(byEndpoint.getOrDefault(endpoint, List.of()))) {
                 if (attempt.isOverdue() || !takesTooLong(now, attempt)) continue;
                 attempt.markOverdue();
-                listener.overdue(now, attempt);
+                listener.attemptOverdue(now, attempt);
             }
         }
     }
--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -104,7 +104,7 @@
     }
 
     /** Records that the end of the body has arrived. The client's waiting time starts now. */
-    void complete(double now, double newDeadline) {
+    void markBodyComplete(double now, double newDeadline) {
         bodyPending = false;
         arrivedAt = now;
         deadline = newDeadline;
@@ -177,7 +177,7 @@
     }
 
     /** Returns the first attempt that its endpoint may have run, or null if there is none. */
-    Attempt firstThatMayHaveRun() {
+    Attempt firstAttemptThatMayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveRun()) return attempt;
         }
@@ -186,13 +186,13 @@
 
     /** Whether a host may have run the request. */
     boolean mayHaveRun() {
-        return firstThatMayHaveRun() != null;
+        return firstAttemptThatMayHaveRun() != null;
     }
 
     /** Whether a host may have received the complete request. */
-    boolean mayHaveArrivedAtHost() {
+    boolean mayHaveBeenDelivered() {
         for (Attempt attempt : attempts) {
-            if (attempt.mayHaveArrived()) return true;
+            if (attempt.mayHaveBeenDelivered()) return true;
         }
         return false;
     }
--- a/src/main/java/caperrudder/policy/RequestAdmission.java
+++ b/src/main/java/caperrudder/policy/RequestAdmission.java
@@ -45,7 +45,7 @@
         // answered at once, so that it does not delay others. The arrival time includes the whole lag of the event
         // loop, so a request that arrived late in a stall may be dropped too early.
         if (request.arrivedAt() < now && now >= RequestExpiry.expiresAt(request)) {
-            requests.completeUnserved(request);
+            requests.answerUnserved(request);
             return;
         }
         switch (evaluate(now, request, planKnown)) {
--- a/src/main/java/caperrudder/policy/RequestExpiry.java
+++ b/src/main/java/caperrudder/policy/RequestExpiry.java
@@ -25,7 +25,7 @@
         double latestAt = answerDueAt(request);
         if (request.mayHaveRun()) return latestAt;
         double arrivedAt = request.arrivedAt();
-        if (!request.mayHaveArrivedAtHost()) {
+        if (!request.mayHaveBeenDelivered()) {
             // A request that no host has received is answered before half of the client's time is lost.
             double timeToDeadlineMs = request.deadline() - arrivedAt;
             latestAt = Math.min(latestAt, arrivedAt + UNDELIVERED_DEADLINE_SHARE * timeToDeadlineMs);
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -57,7 +57,7 @@
         // A request that would expire in the queue is answered at once (rule 1).
         boolean waits = !request.isClosed() && !request.hasAttempts();
         if (waits && now + scheduler.drainTimeMs(request.trafficClass()) >= RequestExpiry.expiresAt(request)) {
-            completeUnserved(request);
+            answerUnserved(request);
         }
     }
 
@@ -66,7 +66,7 @@
         close(request);
         CustomerQuota quota = request.quota();
         double estimateMs = quota == null ? QuotaTable.MIN_EVICTION_IDLE_MS : quota.retryAfterMs(now, request.units());
-        actions.reject(request.id(), retryAfter.of(estimateMs));
+        actions.reject(request.id(), retryAfter.fromEstimate(estimateMs));
     }
 
     /** Dispatches queued requests while slots are free. */
@@ -79,7 +79,7 @@
         for (PendingRequest request :
                 scheduler.queuedRequests(trafficClass, queued -> now >= RequestExpiry.expiresAt(queued))) {
             trafficClass.recordQueueDelay(now - request.arrivedAt());
-            completeUnserved(request); // also removes it from the queue
+            answerUnserved(request); // also removes it from the queue
         }
     }
 
@@ -105,13 +105,16 @@
      * Sends the final answer to a request that no response was served for: a rejection if a retry by the client is
      * harmless (rule 2), otherwise a failure.
      */
-    void completeUnserved(PendingRequest request) {
+    void answerUnserved(PendingRequest request) {
         if (request.isAdmitted() && !request.isClosed()) lateRequestShare.record(true);
         boolean harmless = RetryPolicy.isRejectionHarmless(request);
         close(request);
         // A retry can expect a slot once the requests that are queued now have been dispatched.
-        if (harmless) actions.reject(request.id(), retryAfter.of(scheduler.drainTimeMs(request.trafficClass())));
-        else actions.fail(request.id());
+        if (harmless) {
+            actions.reject(request.id(), retryAfter.fromEstimate(scheduler.drainTimeMs(request.trafficClass())));
+        } else {
+            actions.fail(request.id());
+        }
     }
 
     /** Closes a request whose client has its answer or has disconnected. Forgets it unless it has open attempts. */
--- a/src/main/java/caperrudder/policy/RetryAfter.java
+++ b/src/main/java/caperrudder/policy/RetryAfter.java
@@ -19,7 +19,7 @@
      * Returns the estimate in milliseconds, clamped to between a tick and the maximum of the settings; {@link #NONE} if
      * the settings permit no Retry-After.
      */
-    double of(double estimateMs) {
+    double fromEstimate(double estimateMs) {
         return limits.retryAfter() ? Math.min(limits.maxRetryAfterMs(), Math.max(MIN_MS, estimateMs)) : NONE;
     }
 }
--- a/src/main/java/caperrudder/policy/RetryPolicy.java
+++ b/src/main/java/caperrudder/policy/RetryPolicy.java
@@ -22,13 +22,13 @@
 
     /** Whether another attempt now does no harm even if earlier attempts have run (rule 2). */
     boolean isRepeatable(double now, PendingRequest request) {
-        Attempt mayHaveRun = request.firstThatMayHaveRun();
+        Attempt mayHaveRun = request.firstAttemptThatMayHaveRun();
         return mayHaveRun == null
                 || safety.isRepeatable(now, request.trafficClass().requestClass(), mayHaveRun.sentAt());
     }
 
     /** Whether a request whose attempts have ended may be sent again; if so, spends a token of the retry budget. */
-    boolean takeRetry(double now, PendingRequest request) {
+    boolean tryAcquireRetry(double now, PendingRequest request) {
         boolean allowed = isRepeatable(now, request)
                 && !request.isResponding()
                 && request.isReplayable()
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -137,7 +137,7 @@
     @Override
     public void attemptEnded(double now, AttemptResult result) {
         PendingRequest request = pending.find(result.requestId());
-        if (request != null) attempts.ended(now, request, result);
+        if (request != null) attempts.attemptEnded(now, request, result);
     }
 
     @Override
