--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -31,7 +31,7 @@
     public Endpoint findDestination(double now, PendingRequest request) {
         Attempt mayHaveRun = request.firstAttemptThatMayHaveRun();
         Host mayHaveRunOn = mayHaveRun == null ? null : mayHaveRun.endpoint().host();
-        return loadBalancer.pick(
+        return loadBalancer.pickEndpoint(
                 now,
                 new PlacementRequest(
                         request.trafficClass().requestClass(),
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -71,7 +71,7 @@
 
     /** Dispatches queued requests while slots are free. */
     void dispatch(double now) {
-        scheduler.dispatch(now, limit.slots(loadBalancer.capacity()));
+        scheduler.dispatch(now, limit.slots(loadBalancer.healthyCapacity()));
     }
 
     /** Answers the queued requests of a class that have expired. */
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -204,7 +204,7 @@
         }
         if (!pending.isEmpty() || classes.hasSamples()) return;
         limit.restore(snapshot.concurrencyLimitPerHost());
-        loadBalancer.restore(now, snapshot.health());
+        loadBalancer.restoreSnapshot(now, snapshot.health());
         classes.restore(snapshot.classes());
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns the capacity of all usable endpoints together, as a number of warm healthy endpoints. */
-    public double capacity() {
+    public double healthyCapacity() {
         return table.usableCount() - missingCapacity;
     }
 
@@ -106,7 +106,7 @@
     // ---- attempts
 
     /** Returns the endpoint for a request's next attempt, or null if none can be used now. */
-    public Endpoint pick(double now, PlacementRequest request) {
+    public Endpoint pickEndpoint(double now, PlacementRequest request) {
         return picker.pick(now, request);
     }
 
@@ -155,7 +155,7 @@
     }
 
     /** Restores the scores that the predecessor had. Ignores those of unknown hosts and classes. */
-    public void restore(double now, List<HealthSnapshot> snapshots) {
+    public void restoreSnapshot(double now, List<HealthSnapshot> snapshots) {
         outliers.restore(now, snapshots, table);
     }
 
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -177,7 +177,7 @@
         reference.refresh(gateway.now(), gateway, gatewayIndex, gatewayCount);
         assertEquals(reference.usableIds, usableIds(gateway));
         assertEquals(reference.subsetIds, ids(gateway.loadBalancer().subset()));
-        assertEquals(reference.capacity, gateway.loadBalancer().capacity(), 1e-9);
+        assertEquals(reference.capacity, gateway.loadBalancer().healthyCapacity(), 1e-9);
         assertEquals(
                 reference.all.values().stream()
                         .filter(ReferenceTable.KnownHost::listed)
