--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -30,14 +30,15 @@
     @Override
     public Endpoint findDestination(double now, PendingRequest request) {
         Attempt mayHaveRun = request.firstAttemptThatMayHaveRun();
-        Host mayHaveRunOn = mayHaveRun == null ? null : mayHaveRun.endpoint().host();
+        Host mayHaveRunOnHost =
+                mayHaveRun == null ? null : mayHaveRun.endpoint().host();
         return loadBalancer.pickEndpoint(
                 now,
                 new PlacementRequest(
                         request.trafficClass().requestClass(),
                         request.expectedWorkMs(),
                         retries.isRepeatable(now, request),
-                        mayHaveRunOn,
+                        mayHaveRunOnHost,
                         request.attemptedEndpoints()));
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
@@ -106,10 +106,10 @@
     private List<Endpoint> fallbackCandidates(PlacementRequest request) {
         boolean limitsToScope = table.usableCount() > MAX_FALLBACK_CANDIDATES
                 && request.requestClass().idempotency() == Idempotency.IDEMPOTENCY_KEY;
-        Host mayHaveRunOn = limitsToScope ? request.mayHaveRunOn() : null;
-        Collection<RankedEndpoints> lists = mayHaveRunOn == null
+        Host mayHaveRunOnHost = limitsToScope ? request.mayHaveRunOnHost() : null;
+        Collection<RankedEndpoints> lists = mayHaveRunOnHost == null
                 ? table.usable()
-                : table.usableSharing(request.requestClass().deduplicationScope(), mayHaveRunOn);
+                : table.usableSharing(request.requestClass().deduplicationScope(), mayHaveRunOnHost);
         int count = 0;
         for (RankedEndpoints list : lists) count += list.size();
         int first = count > MAX_FALLBACK_CANDIDATES ? random.nextInt(count) : 0;
@@ -180,7 +180,7 @@
         boolean wholeSubset = comparesWholeSubset();
         double penalty = endpoint.latencyPenalty(now, request.className());
         if (!wholeSubset && penalty < SIGNIFICANT_LATENCY_PENALTY) penalty = 1; // sample() took it into account
-        for (Endpoint attempted : request.attempted()) {
+        for (Endpoint attempted : request.attemptedEndpoints()) {
             if (attempted == endpoint) penalty *= RETRY_PENALTY_FACTOR;
         }
         double workMs = request.expectedWorkMs();
--- a/src/main/java/caperrudder/policy/loadbalancing/PlacementRequest.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/PlacementRequest.java
@@ -11,15 +11,15 @@
  * @param requestClass the request's class
  * @param expectedWorkMs the expected time of an attempt, in ms
  * @param repeatable whether another attempt is harmless now (WIRE, rule 2); true if no attempt may have run yet
- * @param mayHaveRunOn the host of the first attempt that may have run, or null if there was none
- * @param attempted the endpoint of each attempt so far, in order; may contain the same endpoint several times
+ * @param mayHaveRunOnHost the host of the first attempt that may have run, or null if there was none
+ * @param attemptedEndpoints the endpoint of each attempt so far, in order; may contain the same endpoint several times
  */
 public record PlacementRequest(
         RequestClass requestClass,
         double expectedWorkMs,
         boolean repeatable,
-        Host mayHaveRunOn,
-        List<Endpoint> attempted) {
+        Host mayHaveRunOnHost,
+        List<Endpoint> attemptedEndpoints) {
 
     String className() {
         return requestClass.name();
@@ -31,8 +31,8 @@
      */
     boolean allows(Endpoint endpoint) {
         return repeatable
-                && (mayHaveRunOn == null
+                && (mayHaveRunOnHost == null
                         || requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY
-                        || requestClass.deduplicationScope().isSharedBy(endpoint.host(), mayHaveRunOn));
+                        || requestClass.deduplicationScope().isSharedBy(endpoint.host(), mayHaveRunOnHost));
     }
 }
