--- a/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
@@ -65,7 +65,7 @@
 
     // ---- outstanding work of this gateway
 
-    void startAttempt(double expectedWorkMs) {
+    void recordAttemptStart(double expectedWorkMs) {
         outstandingAttempts++;
         outstandingWorkMs += expectedWorkMs;
     }
@@ -74,7 +74,7 @@
      * Subtracts the expected work of an attempt that was started. Resets the sum to exactly 0 after the last
      * outstanding attempt, so that rounding errors do not accumulate.
      */
-    void finishAttempt(double expectedWorkMs) {
+    void recordAttemptEnd(double expectedWorkMs) {
         outstandingAttempts--;
         outstandingWorkMs = outstandingAttempts == 0 ? 0 : outstandingWorkMs - expectedWorkMs;
     }
@@ -96,7 +96,7 @@
     }
 
     /** Records a later start of the host, and clears the overall penalty that was observed before it. */
-    void restarted(double atMs, double initialCredit) {
+    void recordRestart(double atMs, double initialCredit) {
         startedAtMs = atMs;
         slowStartCredit = initialCredit;
         if (scores != null) scores.clearOverallPenalty();
@@ -149,7 +149,7 @@
     }
 
     /** Returns whether the endpoint has neither scores nor outstanding attempts. */
-    boolean isUntried() {
+    boolean hasNoObservations() {
         return scores == null && outstandingAttempts == 0;
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
@@ -50,15 +50,15 @@
     }
 
     /** Records the start of an attempt on an endpoint. */
-    void startAttempt(Endpoint endpoint, double expectedWorkMs) {
-        endpoint.startAttempt(expectedWorkMs);
+    void recordAttemptStart(Endpoint endpoint, double expectedWorkMs) {
+        endpoint.recordAttemptStart(expectedWorkMs);
         outstandingAttempts++;
     }
 
-    /** Records the end of an attempt; {@code expectedWorkMs} must be that of {@link #startAttempt}. */
-    void finishAttempt(Endpoint endpoint, double expectedWorkMs) {
+    /** Records the end of an attempt; {@code expectedWorkMs} must be that of {@link #recordAttemptStart}. */
+    void recordAttemptEnd(Endpoint endpoint, double expectedWorkMs) {
         outstandingAttempts--;
-        endpoint.finishAttempt(expectedWorkMs);
+        endpoint.recordAttemptEnd(expectedWorkMs);
     }
 
     /** Returns the endpoint for the next attempt, or null if none can be used now. */
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
@@ -32,7 +32,7 @@
     }
 
     /** Must be called for each host that becomes usable or unusable. */
-    void noteChange(int key, String id) {
+    void recordChange(int key, String id) {
         changed |= contains(key, id);
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointSubset.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointSubset.java
@@ -70,7 +70,7 @@
      * Records that an endpoint has started. Until the next refresh, {@link #isWarm} takes it into account even if it is
      * outside the subset.
      */
-    void noteStarted(Endpoint endpoint) {
+    void recordEndpointStart(Endpoint endpoint) {
         if (latestStarted == null || endpoint.startedAtMs() > latestStarted.startedAtMs()) latestStarted = endpoint;
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
@@ -74,12 +74,12 @@
         endpoint.setIndexed(true);
         usable.add(key, endpoint);
         usableByLocation.add(key, endpoint);
-        range.noteChange(key, endpoint.id());
+        range.recordChange(key, endpoint.id());
     }
 
     private void removeFromIndex(int key, Endpoint endpoint) {
         endpoint.setIndexed(false);
-        range.noteChange(key, endpoint.id());
+        range.recordChange(key, endpoint.id());
         usable.remove(key, endpoint);
         usableByLocation.remove(key, endpoint);
     }
--- a/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
@@ -67,9 +67,9 @@
         Endpoint endpoint = table.put(host);
         if (host.startedAtMs() <= 0 || host.startedAtMs() <= endpoint.startedAtMs()) return;
         double initialCredit = random.nextDouble(); // spreads the gateways' first requests over time
-        endpoint.restarted(host.startedAtMs(), initialCredit);
+        endpoint.recordRestart(host.startedAtMs(), initialCredit);
         if (slowStart.isWarmingUp(endpoint, now)) outliers.observe(endpoint);
-        subset.noteStarted(endpoint);
+        subset.recordEndpointStart(endpoint);
     }
 
     /** Recomputes the capacity and the subset if the refresh interval has passed. Must be called on each tick. */
@@ -79,7 +79,7 @@
 
     private void refresh(double now) {
         refreshedAtMs = now;
-        outliers.forgetIf(endpoint -> endpoint.isUntried() && !slowStart.isWarmingUp(endpoint, now));
+        outliers.forgetIf(endpoint -> endpoint.hasNoObservations() && !slowStart.isWarmingUp(endpoint, now));
         missingCapacity = outliers.missingCapacity(now, slowStart);
         refreshSubset(now);
     }
@@ -117,7 +117,7 @@
 
     /** Records that an endpoint has received the whole request of an attempt and works on it. */
     public void attemptStarted(Endpoint endpoint, double expectedWorkMs) {
-        picker.startAttempt(endpoint, expectedWorkMs);
+        picker.recordAttemptStart(endpoint, expectedWorkMs);
     }
 
     /**
@@ -126,7 +126,7 @@
      * @param expectedWorkMs must be that of {@link #attemptStarted}
      */
     public void attemptFinished(Endpoint endpoint, double expectedWorkMs) {
-        picker.finishAttempt(endpoint, expectedWorkMs);
+        picker.recordAttemptEnd(endpoint, expectedWorkMs);
     }
 
     /** Updates the scores and reported load of an endpoint with the result of an attempt. */
--- a/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
@@ -46,7 +46,7 @@
     void theLoadOfAnEndpointInSlowStartIsComparedToItsCapacity() {
         Endpoint warm = endpoint("warm");
         Endpoint warmingUp = endpoint("warmingUp");
-        warmingUp.restarted(1000, 0);
+        warmingUp.recordRestart(1000, 0);
         for (int i = 0; i < 200; i++) {
             reports.record(1000, warm, report(10));
             reports.record(1000, warmingUp, report(2)); // it has a fifth of its full capacity
--- a/src/test/java/caperrudder/policy/loadbalancing/OutlierDetectorTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/OutlierDetectorTest.java
@@ -68,7 +68,7 @@
     @Test
     void aCancelledAttemptIsNotScored() {
         recordResult(READ, Outcome.CANCELLED, 10);
-        assertTrue(endpoint.isUntried());
+        assertTrue(endpoint.hasNoObservations());
     }
 
     @Test
@@ -82,6 +82,6 @@
         assertEquals(1, detector.missingCapacity(0, slowStart), 1e-9);
         detector.forget(endpoint);
         assertEquals(0, detector.ejectedCount(0));
-        assertFalse(endpoint.isUntried());
+        assertFalse(endpoint.hasNoObservations());
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/SlowStartTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/SlowStartTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void capacityRisesLinearlyFromTheColdStartCapacityToTheFullOne() {
-        endpoint.restarted(STARTED_AT_MS, 0);
+        endpoint.recordRestart(STARTED_AT_MS, 0);
         assertEquals(0.2, slowStart.capacity(endpoint, STARTED_AT_MS), 1e-9);
         assertEquals(0.6, slowStart.capacity(endpoint, STARTED_AT_MS + SLOW_START_MS / 2), 1e-9);
         assertTrue(slowStart.isWarmingUp(endpoint, STARTED_AT_MS + SLOW_START_MS - 1));
@@ -32,13 +32,13 @@
 
     @Test
     void aStartInTheFutureGivesTheColdStartCapacity() {
-        endpoint.restarted(STARTED_AT_MS, 0);
+        endpoint.recordRestart(STARTED_AT_MS, 0);
         assertEquals(0.2, slowStart.capacity(endpoint, STARTED_AT_MS - 500), 1e-9);
     }
 
     @Test
     void anEndpointEarnsItsAllowedShareOfTheRequests() {
-        endpoint.restarted(STARTED_AT_MS, 0);
+        endpoint.recordRestart(STARTED_AT_MS, 0);
         int earned = 0;
         for (int i = 0; i < 1000; i++) if (slowStart.earnsRequest(endpoint, STARTED_AT_MS)) earned++;
         assertEquals(1000 * 0.7 * 2 * 0.2, earned, 1);
@@ -46,7 +46,7 @@
 
     @Test
     void anUnearnedRequestReducesTheCreditDownToMinusOne() {
-        endpoint.restarted(STARTED_AT_MS, 0.5);
+        endpoint.recordRestart(STARTED_AT_MS, 0.5);
         slowStart.chargeRequest(endpoint);
         assertEquals(-0.5, endpoint.slowStartCredit(), 1e-9);
         slowStart.chargeRequest(endpoint);
