--- a/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
@@ -154,7 +154,7 @@
     }
 
     /** Appends the endpoint's scores, if it has any, to {@code snapshots}. */
-    void takeSnapshot(List<HealthSnapshot> snapshots) {
-        if (scores != null) scores.takeSnapshot(host.id(), snapshots);
+    void appendSnapshots(List<HealthSnapshot> snapshots) {
+        if (scores != null) scores.appendSnapshots(host.id(), snapshots);
     }
 }
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointScores.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointScores.java
@@ -47,8 +47,8 @@
     }
 
     /** Appends the scores to {@code snapshots}. */
-    void takeSnapshot(String hostId, List<HealthSnapshot> snapshots) {
-        if (overall != null) snapshots.add(overall.takeSnapshot(hostId, ALL_CLASSES));
-        byClass.forEach((requestClass, score) -> snapshots.add(score.takeSnapshot(hostId, requestClass)));
+    void appendSnapshots(String hostId, List<HealthSnapshot> snapshots) {
+        if (overall != null) snapshots.add(overall.toSnapshot(hostId, ALL_CLASSES));
+        byClass.forEach((requestClass, score) -> snapshots.add(score.toSnapshot(hostId, requestClass)));
     }
 }
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
@@ -106,7 +106,7 @@
     /** Returns the scores of the listed endpoints under observation. */
     List<HealthSnapshot> takeSnapshot() {
         List<HealthSnapshot> snapshots = new ArrayList<>();
-        for (Endpoint endpoint : observed) if (endpoint.isListed()) endpoint.takeSnapshot(snapshots);
+        for (Endpoint endpoint : observed) if (endpoint.isListed()) endpoint.appendSnapshots(snapshots);
         return snapshots;
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierScore.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierScore.java
@@ -64,7 +64,7 @@
     }
 
     /** Returns the score for a successor; {@code requestClass} is empty for the score of all classes. */
-    HealthSnapshot takeSnapshot(String hostId, String requestClass) {
+    HealthSnapshot toSnapshot(String hostId, String requestClass) {
         return new HealthSnapshot(hostId, requestClass, latencyPenalty, updatedAtMs, consecutiveFailures);
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -113,7 +113,7 @@
 
         private static double penalty(double now, Endpoint endpoint) {
             List<HealthSnapshot> scores = new ArrayList<>();
-            endpoint.takeSnapshot(scores);
+            endpoint.appendSnapshots(scores);
             for (HealthSnapshot score : scores) {
                 if (!score.requestClass().isEmpty()) continue;
                 return 1 + (score.latencyPenalty() - 1) * Math.exp(-(now - score.updatedAtMs()) / 6000);
--- a/src/test/java/caperrudder/policy/loadbalancing/OutlierScoreTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/OutlierScoreTest.java
@@ -51,6 +51,6 @@
     @Test
     void restoringLimitsThePenaltyToTheMaximumAndTheUpdateTimeToNow() {
         score.restore(new HealthSnapshot("h", "", 50, 900, 2), 100);
-        assertEquals(new HealthSnapshot("h", "read", 12, 100, 2), score.takeSnapshot("h", "read"));
+        assertEquals(new HealthSnapshot("h", "read", 12, 100, 2), score.toSnapshot("h", "read"));
     }
 }
