--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointRange.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/CachedEndpointRange.java
@@ -6,7 +6,7 @@
  * A contiguous range of the usable endpoints in their order, cached from the last call. It is copied again only if an
  * endpoint inside it has become usable or unusable: in a large fleet, few changes affect the range of one gateway.
  */
-final class EndpointRange {
+final class CachedEndpointRange {
     private final RankedEndpoints usable;
     private final EndpointOrder order;
     private List<Endpoint> endpoints = List.of();
@@ -26,7 +26,7 @@
         }
     }
 
-    EndpointRange(RankedEndpoints usable, EndpointOrder order) {
+    CachedEndpointRange(RankedEndpoints usable, EndpointOrder order) {
         this.usable = usable;
         this.order = order;
     }
@@ -65,8 +65,8 @@
         if (!changed && requested.equals(arc) && endpoints.size() >= minEndpoints) return endpoints;
         arc = requested;
         int size = usable.size();
-        int first = usable.rank(arc.fromKey);
-        int count = Math.floorMod(usable.rank(arc.toKey) - first, Math.max(1, size));
+        int first = usable.rankOfKey(arc.fromKey);
+        int count = Math.floorMod(usable.rankOfKey(arc.toKey) - first, Math.max(1, size));
         return select(first, Math.min(size, Math.max(minEndpoints, count)));
     }
 
@@ -83,7 +83,7 @@
         arc = null;
         boolean unchanged = !changed
                 && count == endpoints.size()
-                && (count == 0 || endpoints.get(0) == usable.at(rank % usable.size()));
+                && (count == 0 || endpoints.get(0) == usable.get(rank % usable.size()));
         return unchanged ? endpoints : select(rank, count);
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
@@ -109,7 +109,7 @@
         Host mayHaveRunOnHost = limitsToScope ? request.mayHaveRunOnHost() : null;
         Collection<RankedEndpoints> lists = mayHaveRunOnHost == null
                 ? table.usable()
-                : table.usableSharing(request.requestClass().deduplicationScope(), mayHaveRunOnHost);
+                : table.usableInScopeOf(request.requestClass().deduplicationScope(), mayHaveRunOnHost);
         int count = 0;
         for (RankedEndpoints list : lists) count += list.size();
         int first = count > MAX_FALLBACK_CANDIDATES ? random.nextInt(count) : 0;
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointSubset.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointSubset.java
@@ -51,11 +51,11 @@
         int size = Math.max(MIN_SUBSET_SIZE, TARGET_GATEWAYS_PER_ENDPOINT * usable / gatewayCount);
         boolean largeFleet = isLargeFleet(gatewayCount);
         if (largeFleet && size >= MIN_ARC_ENDPOINTS) {
-            return table.range().byArc(gatewayIndex, TARGET_GATEWAYS_PER_ENDPOINT, gatewayCount, MIN_SUBSET_SIZE);
+            return table.usableRange().byArc(gatewayIndex, TARGET_GATEWAYS_PER_ENDPOINT, gatewayCount, MIN_SUBSET_SIZE);
         }
         long index = gatewayIndex;
         long first = largeFleet ? index * usable / gatewayCount : index * size % Math.max(1, usable);
-        return table.range().byRank((int) first, Math.min(size, usable));
+        return table.usableRange().byRank((int) first, Math.min(size, usable));
     }
 
     private static Endpoint latestStarted(List<Endpoint> endpoints) {
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
@@ -18,13 +18,13 @@
     private final RankedEndpoints all = new RankedEndpoints();
     private final RankedEndpoints usable = new RankedEndpoints();
     private final EndpointsByLocation usableByLocation = new EndpointsByLocation();
-    private final EndpointRange range;
+    private final CachedEndpointRange usableRange;
     private final Set<Endpoint> unlisted = new LinkedHashSet<>();
     private int listedCount;
 
     EndpointTable(EndpointOrder order) {
         this.order = order;
-        range = new EndpointRange(usable, order);
+        usableRange = new CachedEndpointRange(usable, order);
     }
 
     /** Returns the endpoint with this host id, which may be unlisted; null if there is none. */
@@ -32,14 +32,14 @@
         return all.find(order.key(hostId), hostId);
     }
 
-    /** Begins a full list: marks all endpoints as unlisted. Those that the list contains must then be {@link #put}. */
+    /** Begins a full list: marks all endpoints as unlisted. Those in the list must follow by {@link #addOrUpdate}. */
     void beginFullList() {
         all.forEach(endpoint -> endpoint.setListed(false));
         listedCount = 0;
     }
 
     /** Adds or updates the endpoint of a host, and returns it. Of several entries for a host, the last one counts. */
-    Endpoint put(Host host) {
+    Endpoint addOrUpdate(Host host) {
         int key = order.key(host.id());
         Endpoint endpoint = all.find(key, host.id());
         if (endpoint == null) {
@@ -74,12 +74,12 @@
         endpoint.setIndexed(true);
         usable.add(key, endpoint);
         usableByLocation.add(key, endpoint);
-        range.recordChange(key, endpoint.id());
+        usableRange.recordChange(key, endpoint.id());
     }
 
     private void removeFromIndex(int key, Endpoint endpoint) {
         endpoint.setIndexed(false);
-        range.recordChange(key, endpoint.id());
+        usableRange.recordChange(key, endpoint.id());
         usable.remove(key, endpoint);
         usableByLocation.remove(key, endpoint);
     }
@@ -110,8 +110,8 @@
     }
 
     /** Returns the range of usable endpoints from which this gateway's subset is taken. */
-    EndpointRange range() {
-        return range;
+    CachedEndpointRange usableRange() {
+        return usableRange;
     }
 
     /** Returns all usable endpoints, as a single list. */
@@ -120,7 +120,7 @@
     }
 
     /** Returns the usable endpoints that share this host's memory of idempotency keys, as one or more lists. */
-    Collection<RankedEndpoints> usableSharing(DeduplicationScope scope, Host host) {
+    Collection<RankedEndpoints> usableInScopeOf(DeduplicationScope scope, Host host) {
         return switch (scope) {
             case ALL -> usable();
             case ZONE -> usableByLocation.inZoneOf(host);
@@ -128,8 +128,8 @@
         };
     }
 
-    /** Returns the number of endpoints visited so far, see {@link RankedEndpoints#visited}. */
-    long visited() {
-        return all.visited() + usable.visited() + usableByLocation.visited();
+    /** Returns the number of endpoints visited so far, see {@link RankedEndpoints#visitedCount}. */
+    long visitedCount() {
+        return all.visitedCount() + usable.visitedCount() + usableByLocation.visitedCount();
     }
 }
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointsByLocation.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointsByLocation.java
@@ -38,10 +38,10 @@
     }
 
     /** Returns the number of endpoints visited so far in the lists that exist now. */
-    long visited() {
+    long visitedCount() {
         return byZone.values().stream()
                 .flatMap(cells -> cells.values().stream())
-                .mapToLong(RankedEndpoints::visited)
+                .mapToLong(RankedEndpoints::visitedCount)
                 .sum();
     }
 }
--- a/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
@@ -64,7 +64,7 @@
     }
 
     private void update(double now, Host host) {
-        Endpoint endpoint = table.put(host);
+        Endpoint endpoint = table.addOrUpdate(host);
         if (host.startedAtMs() <= 0 || host.startedAtMs() <= endpoint.startedAtMs()) return;
         double initialCredit = random.nextDouble(); // spreads the gateways' first requests over time
         endpoint.recordRestart(host.startedAtMs(), initialCredit);
--- a/src/main/java/caperrudder/policy/loadbalancing/RankedEndpoints.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/RankedEndpoints.java
@@ -20,7 +20,7 @@
     private int[] firstRanks = new int[1]; // the rank of each block's first endpoint
     private int blockCount = 1;
     private int size;
-    private long visited;
+    private long visitedCount;
 
     /** Consecutive endpoints of the list, in arrays that grow up to {@link #BLOCK_CAPACITY}. */
     private static final class Block {
@@ -79,8 +79,8 @@
     }
 
     /** Returns the number of endpoints compared, copied or iterated over so far, a measure of the cost of look-ups. */
-    long visited() {
-        return visited;
+    long visitedCount() {
+        return visitedCount;
     }
 
     /** Returns the endpoint with this key and host id, or null if there is none. */
@@ -131,43 +131,43 @@
     }
 
     /** Returns the number of endpoints with a smaller key. */
-    int rank(int key) {
+    int rankOfKey(int key) {
         int at = blockOf(key, ""); // "" precedes all ids
         return firstRanks[at] + positionIn(blocks[at], key, "");
     }
 
     /** Returns the endpoint with this rank, from 0 to {@link #size} - 1. */
-    Endpoint at(int rank) {
+    Endpoint get(int rank) {
         int at = blockAt(rank);
-        visited++;
+        visitedCount++;
         return blocks[at].endpoints[rank - firstRanks[at]];
     }
 
     /** Appends up to {@code count} endpoints, from this rank on, to {@code target}. */
-    void copy(int rank, int count, List<Endpoint> target) {
+    void copyTo(int rank, int count, List<Endpoint> target) {
         int at = blockAt(rank);
         int remaining = count;
         for (int i = rank - firstRanks[at]; remaining > 0 && at < blockCount; at++, i = 0) {
             Block block = blocks[at];
             for (; i < block.size && remaining > 0; i++, remaining--) target.add(block.endpoints[i]);
         }
-        visited += count - remaining;
+        visitedCount += count - remaining;
     }
 
     /** Returns {@code count} endpoints from a rank on of the concatenated lists, wrapping around at the end. */
     static List<Endpoint> copyCircular(Collection<RankedEndpoints> lists, int rank, int count) {
         List<Endpoint> endpoints = new ArrayList<>(count);
-        copy(lists, rank, count, endpoints);
-        copy(lists, 0, count - endpoints.size(), endpoints);
+        copyTo(lists, rank, count, endpoints);
+        copyTo(lists, 0, count - endpoints.size(), endpoints);
         return endpoints;
     }
 
-    private static void copy(Collection<RankedEndpoints> lists, int rank, int count, List<Endpoint> target) {
+    private static void copyTo(Collection<RankedEndpoints> lists, int rank, int count, List<Endpoint> target) {
         int skip = rank;
         int finalSize = target.size() + count;
         for (RankedEndpoints list : lists) {
             if (target.size() == finalSize) return;
-            if (skip < list.size()) list.copy(skip, finalSize - target.size(), target);
+            if (skip < list.size()) list.copyTo(skip, finalSize - target.size(), target);
             skip = Math.max(0, skip - list.size());
         }
     }
@@ -176,7 +176,7 @@
         for (int at = 0; at < blockCount; at++) {
             for (int i = 0; i < blocks[at].size; i++) action.accept(blocks[at].endpoints[i]);
         }
-        visited += size;
+        visitedCount += size;
     }
 
     /** Returns the index of the block that contains the endpoint with this rank. */
@@ -196,7 +196,7 @@
                             && blocks[middle].endpoints[0].id().compareTo(id) <= 0);
             if (startsBefore) low = middle;
             else high = middle - 1;
-            visited++;
+            visitedCount++;
         }
         return low;
     }
@@ -209,7 +209,7 @@
             int middle = (low + high) >>> 1;
             if (block.isBefore(middle, key, id)) low = middle + 1;
             else high = middle;
-            visited++;
+            visitedCount++;
         }
         return low;
     }
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -274,10 +274,11 @@
         assertEquals(List.of("b"), usableIds(gateway));
         assertEquals(1, gateway.loadBalancer().clusterHealth(gateway.now()).hostCount());
         EndpointTable table = gateway.loadBalancer().table();
-        assertEquals(0, table.usableSharing(DeduplicationScope.ZONE, a).size());
+        assertEquals(0, table.usableInScopeOf(DeduplicationScope.ZONE, a).size());
         assertEquals(
                 1,
-                table.usableSharing(DeduplicationScope.CELL, host("c", "z2", 2)).size());
+                table.usableInScopeOf(DeduplicationScope.CELL, host("c", "z2", 2))
+                        .size());
         gateway.hostsUpdated(HostListKind.CHANGES, List.of(gone, a));
         assertEquals(List.of("a", "b"), usableIds(gateway));
         gateway.hostsUpdated(HostListKind.FULL, List.of(a));
@@ -354,9 +355,9 @@
                         .toList());
         List<Double> visited = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            long before = gateway.loadBalancer().table().visited();
+            long before = gateway.loadBalancer().table().visitedCount();
             gateway.request("r" + i, "read");
-            visited.add((double) (gateway.loadBalancer().table().visited() - before));
+            visited.add((double) (gateway.loadBalancer().table().visitedCount() - before));
             assertEquals(1, gateway.attemptsOf("r" + i));
             gateway.endAttempt("r" + i, 0, Outcome.OK, 5);
         }
@@ -369,7 +370,7 @@
         PolicyHarness gateway = gatewayInFleetOf4200(hosts(hostCount));
         Random random = new Random(1);
         int changes = 4000;
-        long before = gateway.loadBalancer().table().visited();
+        long before = gateway.loadBalancer().table().visitedCount();
         for (int i = 0; i < changes / 2; i++) {
             int number = random.nextInt(hostCount);
             gateway.hostsUpdated(
@@ -377,7 +378,7 @@
                     List.of(new Host("h" + number, "z" + number % 4, "std", 0, HostState.GONE, 1, 0)));
             gateway.hostsUpdated(HostListKind.CHANGES, List.of(PolicyHarness.host("h" + number, "z" + number % 4)));
         }
-        return (gateway.loadBalancer().table().visited() - before) / (double) changes;
+        return (gateway.loadBalancer().table().visitedCount() - before) / (double) changes;
     }
 
     @Test
@@ -393,9 +394,9 @@
     void anIdleSecondVisitsAtMostFourTimesTheSubset() {
         PolicyHarness gateway = gatewayInFleetOf4200(hosts(160_000));
         gateway.advance(20_000);
-        long before = gateway.loadBalancer().table().visited();
+        long before = gateway.loadBalancer().table().visitedCount();
         gateway.advance(1000);
-        long visited = gateway.loadBalancer().table().visited() - before;
+        long visited = gateway.loadBalancer().table().visitedCount() - before;
         assertTrue(
                 visited <= 4L * gateway.loadBalancer().subset().size(),
                 visited + " endpoints visited with a subset of "
--- a/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/RankedEndpointsTest.java
@@ -57,15 +57,15 @@
             int from = random.nextInt(expected.size());
             int count = random.nextInt(1000);
             List<Endpoint> copied = new ArrayList<>();
-            ranked.copy(from, count, copied);
+            ranked.copyTo(from, count, copied);
             assertEquals(ids(expected.subList(from, Math.min(expected.size(), from + count))), ids(copied));
-            assertSame(copied.isEmpty() ? ranked.at(from) : copied.get(0), ranked.at(from));
+            assertSame(copied.isEmpty() ? ranked.get(from) : copied.get(0), ranked.get(from));
             int key = random.nextInt(KEYS) - KEYS / 2;
             assertEquals(
                     expected.stream()
                             .filter(endpoint -> key(endpoint.id()) < key)
                             .count(),
-                    ranked.rank(key));
+                    ranked.rankOfKey(key));
         }
     }
 
@@ -74,7 +74,7 @@
         RankedEndpoints ranked = new RankedEndpoints();
         Endpoint endpoint = new Endpoint(PolicyHarness.host("a1", "a"));
         assertNull(ranked.find(1, "a1"));
-        assertEquals(0, ranked.rank(Integer.MAX_VALUE));
+        assertEquals(0, ranked.rankOfKey(Integer.MAX_VALUE));
         ranked.add(1, endpoint);
         ranked.remove(1, endpoint);
         ranked.remove(1, endpoint);
