--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
@@ -70,7 +70,7 @@
         if (warmingUp != null && (best == null || warmingUp.isIdle())) return warmingUp;
         if (best != null) return best;
         best = best(now, request, fallbackCandidates(request), true);
-        if (best != null) slowStart.chargeRequest(best);
+        if (best != null) slowStart.deductCredit(best);
         return best;
     }
 
@@ -124,7 +124,7 @@
     private Endpoint drawSlowStart(double now, PlacementRequest request) {
         Endpoint drawn = drawByWeight(now, request.className());
         boolean eligible = drawn != null && slowStart.isWarmingUp(drawn, now) && request.allows(drawn);
-        return eligible && slowStart.earnsRequest(drawn, now) ? drawn : null;
+        return eligible && slowStart.accrueCredit(drawn, now) ? drawn : null;
     }
 
     private Endpoint drawByWeight(double now, String className) {
@@ -145,7 +145,7 @@
     private double weight(double now, Endpoint endpoint, String className) {
         if (!endpoint.isUsable()) return 0;
         double penalty = Math.max(1, endpoint.latencyPenalty(now, className));
-        return loadReports.correction(now, endpoint) * slowStart.capacity(endpoint, now) / penalty;
+        return loadReports.weightCorrection(now, endpoint) * slowStart.capacityShare(endpoint, now) / penalty;
     }
 
     /**
@@ -186,6 +186,6 @@
         double workMs = request.expectedWorkMs();
         // Prefers this gateway's zone only if its own attempts show the load there, so as not to overload the zone.
         double crossZoneMs = !wholeSubset || endpoint.host().zone().equals(zone) ? 0 : CROSS_ZONE_COST_RATIO * workMs;
-        return (workMs + endpoint.outstandingWorkMs()) * penalty / slowStart.capacity(endpoint, now) + crossZoneMs;
+        return (workMs + endpoint.outstandingWorkMs()) * penalty / slowStart.capacityShare(endpoint, now) + crossZoneMs;
     }
 }
--- a/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/LoadBalancer.java
@@ -68,7 +68,7 @@
         if (host.startedAtMs() <= 0 || host.startedAtMs() <= endpoint.startedAtMs()) return;
         double initialCredit = random.nextDouble(); // spreads the gateways' first requests over time
         endpoint.recordRestart(host.startedAtMs(), initialCredit);
-        if (slowStart.isWarmingUp(endpoint, now)) outliers.observe(endpoint);
+        if (slowStart.isWarmingUp(endpoint, now)) outliers.startObserving(endpoint);
         subset.recordEndpointStart(endpoint);
     }
 
@@ -79,7 +79,7 @@
 
     private void refresh(double now) {
         refreshedAtMs = now;
-        outliers.forgetIf(endpoint -> endpoint.hasNoObservations() && !slowStart.isWarmingUp(endpoint, now));
+        outliers.stopObservingIf(endpoint -> endpoint.hasNoObservations() && !slowStart.isWarmingUp(endpoint, now));
         missingCapacity = outliers.missingCapacity(now, slowStart);
         refreshSubset(now);
     }
@@ -90,7 +90,7 @@
 
     /** Removes the endpoints that are no longer listed and have no outstanding attempts. */
     public void removeUnlisted() {
-        table.removeUnlisted(outliers::forget);
+        table.removeUnlisted(outliers::stopObserving);
     }
 
     /** Returns the capacity of all usable endpoints together, as a number of warm healthy endpoints. */
@@ -112,7 +112,7 @@
 
     /** Records that an attempt is sent to an endpoint, which works on it from {@link #attemptStarted} on. */
     public void attemptSent(Endpoint endpoint) {
-        outliers.observe(endpoint);
+        outliers.startObserving(endpoint);
     }
 
     /** Records that an endpoint has received the whole request of an attempt and works on it. */
--- a/src/main/java/caperrudder/policy/loadbalancing/LoadReports.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/LoadReports.java
@@ -25,16 +25,16 @@
     void record(double now, Endpoint endpoint, double[] report) {
         if (fieldIndex < 0 || fieldIndex >= report.length) return;
         endpoint.setReportedLoad(report[fieldIndex]);
-        meanLoad += MEAN_LOAD_GAIN * (report[fieldIndex] / slowStart.capacity(endpoint, now) - meanLoad);
+        meanLoad += MEAN_LOAD_GAIN * (report[fieldIndex] / slowStart.capacityShare(endpoint, now) - meanLoad);
     }
 
     /**
      * Returns the factor by which to correct an endpoint's weight: over 1 if its last report shows less load for its
      * capacity than the average, 1 if it has not reported.
      */
-    double correction(double now, Endpoint endpoint) {
+    double weightCorrection(double now, Endpoint endpoint) {
         if (!endpoint.hasReportedLoad()) return 1;
-        double load = endpoint.reportedLoad() / slowStart.capacity(endpoint, now);
+        double load = endpoint.reportedLoad() / slowStart.capacityShare(endpoint, now);
         return Math.max(1 / MAX_CORRECTION_FACTOR, Math.min(MAX_CORRECTION_FACTOR, (1 + meanLoad) / (1 + load)));
     }
 }
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
@@ -27,17 +27,17 @@
     }
 
     /** Adds an endpoint to those under observation. */
-    void observe(Endpoint endpoint) {
+    void startObserving(Endpoint endpoint) {
         observed.add(endpoint);
     }
 
     /** Removes an endpoint from those under observation; it keeps its scores. */
-    void forget(Endpoint endpoint) {
+    void stopObserving(Endpoint endpoint) {
         observed.remove(endpoint);
     }
 
     /** Removes the endpoints that match from those under observation. */
-    void forgetIf(Predicate<Endpoint> condition) {
+    void stopObservingIf(Predicate<Endpoint> condition) {
         observed.removeIf(condition);
     }
 
@@ -46,7 +46,7 @@
         return observed.stream()
                 .filter(Endpoint::isUsable)
                 .mapToDouble(endpoint -> endpoint.latencyPenalty(now) < OutlierScore.EJECTION_PENALTY
-                        ? 1 - slowStart.capacity(endpoint, now)
+                        ? 1 - slowStart.capacityShare(endpoint, now)
                         : 1)
                 .sum();
     }
@@ -116,7 +116,7 @@
             Endpoint endpoint = table.find(snapshot.hostId());
             if (endpoint == null || !isKnownClass(snapshot.requestClass())) continue;
             endpoint.scores().of(snapshot.requestClass()).restore(snapshot, now);
-            observe(endpoint);
+            startObserving(endpoint);
         }
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns the share of its full capacity that an endpoint has now, by its last start: above 0, at most 1. */
-    double capacity(Endpoint endpoint, double now) {
+    double capacityShare(Endpoint endpoint, double now) {
         double elapsedShare = (now - endpoint.startedAtMs()) / slowStartMs;
         return elapsedShare >= 1
                 ? 1
@@ -34,12 +34,12 @@
 
     /** Returns whether an endpoint has less than its full capacity because it has just started. */
     boolean isWarmingUp(Endpoint endpoint, double now) {
-        return capacity(endpoint, now) < 1;
+        return capacityShare(endpoint, now) < 1;
     }
 
     /** Returns the traffic that may go to an endpoint, relative to a warm one; over 1 if it is nearly warm. */
     double allowedShare(Endpoint endpoint, double now) {
-        return OVERLOAD_SAFETY_FACTOR * overloadMultiple * capacity(endpoint, now);
+        return OVERLOAD_SAFETY_FACTOR * overloadMultiple * capacityShare(endpoint, now);
     }
 
     /**
@@ -47,7 +47,7 @@
      * returns true. Credit limits an endpoint's requests better than a random draw would: the draws of many gateways
      * may coincide and exceed the few requests that it can take.
      */
-    boolean earnsRequest(Endpoint endpoint, double now) {
+    boolean accrueCredit(Endpoint endpoint, double now) {
         double credit = endpoint.slowStartCredit() + Math.min(1, allowedShare(endpoint, now));
         boolean earned = credit >= 1;
         endpoint.setSlowStartCredit(earned ? credit - 1 : credit);
@@ -55,7 +55,7 @@
     }
 
     /** Deducts the credit of a request that the endpoint gets without having earned it, down to a credit of -1. */
-    void chargeRequest(Endpoint endpoint) {
+    void deductCredit(Endpoint endpoint) {
         endpoint.setSlowStartCredit(Math.max(-1, endpoint.slowStartCredit() - 1));
     }
 }
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointCostsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointAllocationTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against memory allocation that grows with the number of hosts, in a fleet of 4,200 gateways. */
-class EndpointCostsTest {
+class EndpointAllocationTest {
     private static final int HOSTS = 160_000;
     private static final int CHANGES = 100;
     private final com.sun.management.ThreadMXBean threads =
--- a/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
@@ -24,22 +24,22 @@
     }
 
     @Test
-    void theCorrectionIsOneWithoutAReport() {
+    void theWeightCorrectionIsOneWithoutAReport() {
         Endpoint notReporting = endpoint("notReporting");
         reports.record(0, endpoint("other"), report(9));
-        assertEquals(1, reports.correction(0, notReporting));
+        assertEquals(1, reports.weightCorrection(0, notReporting));
     }
 
     @Test
-    void lessLoadThanTheMeanRaisesTheCorrectionAndMoreLoadLowersItWithinBounds() {
+    void lessLoadThanTheMeanRaisesTheWeightCorrectionAndMoreLoadLowersItWithinBounds() {
         Endpoint busy = endpoint("busy");
         Endpoint idle = endpoint("idle");
         for (int i = 0; i < 200; i++) {
             reports.record(0, busy, report(20));
             reports.record(0, idle, report(0));
         }
-        assertEquals(1.5, reports.correction(0, idle), 1e-9);
-        assertEquals(1 / 1.5, reports.correction(0, busy), 1e-9);
+        assertEquals(1.5, reports.weightCorrection(0, idle), 1e-9);
+        assertEquals(1 / 1.5, reports.weightCorrection(0, busy), 1e-9);
     }
 
     @Test
@@ -51,8 +51,8 @@
             reports.record(1000, warm, report(10));
             reports.record(1000, warmingUp, report(2)); // it has a fifth of its full capacity
         }
-        assertEquals(1, reports.correction(1000, warm), 1e-3);
-        assertEquals(1, reports.correction(1000, warmingUp), 1e-3);
+        assertEquals(1, reports.weightCorrection(1000, warm), 1e-3);
+        assertEquals(1, reports.weightCorrection(1000, warmingUp), 1e-3);
     }
 
     @Test
--- a/src/test/java/caperrudder/policy/loadbalancing/OutlierDetectorTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/OutlierDetectorTest.java
@@ -75,12 +75,12 @@
     void onlyUsableEndpointsUnderObservationCountAsEjectedOrAsMissingCapacity() {
         SlowStart slowStart = new SlowStart(new SiteRules(8, 500, 2, 1000, 0.2, 10_000, 0));
         for (int i = 0; i < 2; i++) recordResult(READ, Outcome.CONNECT_FAILED, 0);
-        detector.observe(endpoint);
+        detector.startObserving(endpoint);
         assertEquals(0, detector.ejectedCount(0)); // not listed, so not usable
         endpoint.setListed(true);
         assertEquals(1, detector.ejectedCount(0));
         assertEquals(1, detector.missingCapacity(0, slowStart), 1e-9);
-        detector.forget(endpoint);
+        detector.stopObserving(endpoint);
         assertEquals(0, detector.ejectedCount(0));
         assertFalse(endpoint.hasNoObservations());
     }
--- a/src/test/java/caperrudder/policy/loadbalancing/SlowStartTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/SlowStartTest.java
@@ -17,40 +17,40 @@
 
     @Test
     void anEndpointWithoutAKnownStartHasFullCapacity() {
-        assertEquals(1, slowStart.capacity(endpoint, 0));
+        assertEquals(1, slowStart.capacityShare(endpoint, 0));
         assertFalse(slowStart.isWarmingUp(endpoint, 0));
     }
 
     @Test
-    void capacityRisesLinearlyFromTheColdStartCapacityToTheFullOne() {
+    void capacityShareRisesLinearlyFromThatAtTheStartToOne() {
         endpoint.recordRestart(STARTED_AT_MS, 0);
-        assertEquals(0.2, slowStart.capacity(endpoint, STARTED_AT_MS), 1e-9);
-        assertEquals(0.6, slowStart.capacity(endpoint, STARTED_AT_MS + SLOW_START_MS / 2), 1e-9);
+        assertEquals(0.2, slowStart.capacityShare(endpoint, STARTED_AT_MS), 1e-9);
+        assertEquals(0.6, slowStart.capacityShare(endpoint, STARTED_AT_MS + SLOW_START_MS / 2), 1e-9);
         assertTrue(slowStart.isWarmingUp(endpoint, STARTED_AT_MS + SLOW_START_MS - 1));
-        assertEquals(1, slowStart.capacity(endpoint, STARTED_AT_MS + SLOW_START_MS));
+        assertEquals(1, slowStart.capacityShare(endpoint, STARTED_AT_MS + SLOW_START_MS));
     }
 
     @Test
-    void aStartInTheFutureGivesTheColdStartCapacity() {
+    void aStartInTheFutureGivesTheCapacityShareAtTheStart() {
         endpoint.recordRestart(STARTED_AT_MS, 0);
-        assertEquals(0.2, slowStart.capacity(endpoint, STARTED_AT_MS - 500), 1e-9);
+        assertEquals(0.2, slowStart.capacityShare(endpoint, STARTED_AT_MS - 500), 1e-9);
     }
 
     @Test
     void anEndpointEarnsItsAllowedShareOfTheRequests() {
         endpoint.recordRestart(STARTED_AT_MS, 0);
         int earned = 0;
-        for (int i = 0; i < 1000; i++) if (slowStart.earnsRequest(endpoint, STARTED_AT_MS)) earned++;
+        for (int i = 0; i < 1000; i++) if (slowStart.accrueCredit(endpoint, STARTED_AT_MS)) earned++;
         assertEquals(1000 * 0.7 * 2 * 0.2, earned, 1);
     }
 
     @Test
     void anUnearnedRequestReducesTheCreditDownToMinusOne() {
         endpoint.recordRestart(STARTED_AT_MS, 0.5);
-        slowStart.chargeRequest(endpoint);
+        slowStart.deductCredit(endpoint);
         assertEquals(-0.5, endpoint.slowStartCredit(), 1e-9);
-        slowStart.chargeRequest(endpoint);
-        slowStart.chargeRequest(endpoint);
+        slowStart.deductCredit(endpoint);
+        slowStart.deductCredit(endpoint);
         assertEquals(-1, endpoint.slowStartCredit(), 1e-9);
     }
 }
