--- a/src/main/java/caperrudder/policy/AttemptDispatcher.java
+++ b/src/main/java/caperrudder/policy/AttemptDispatcher.java
@@ -29,9 +29,10 @@
 
     @Override
     public Endpoint findDestination(double now, PendingRequest request) {
-        Attempt mayHaveRun = request.firstAttemptThatMayHaveRun();
-        Host mayHaveRunOnHost =
-                mayHaveRun == null ? null : mayHaveRun.endpoint().host();
+        Attempt firstThatMayHaveRun = request.firstAttemptThatMayHaveRun();
+        Host mayHaveRunOnHost = firstThatMayHaveRun == null
+                ? null
+                : firstThatMayHaveRun.endpoint().host();
         return loadBalancer.pickEndpoint(
                 now,
                 new PlacementRequest(
--- a/src/main/java/caperrudder/policy/RequestAdmission.java
+++ b/src/main/java/caperrudder/policy/RequestAdmission.java
@@ -36,9 +36,9 @@
 
     /** Handles the arrival of a request of this class. */
     void receive(double now, Request received, TrafficClass trafficClass) {
-        int plan = quotas.planNumber(received.plan());
-        boolean planKnown = plan != QuotaTable.UNKNOWN_PLAN;
-        CustomerQuota quota = planKnown ? findQuota(now, received, plan) : null;
+        int planNumber = quotas.planNumber(received.plan());
+        boolean planKnown = planNumber != QuotaTable.UNKNOWN_PLAN;
+        CustomerQuota quota = planKnown ? findQuota(now, received, planNumber) : null;
         PendingRequest request = new PendingRequest(received, trafficClass, quota);
         pending.add(request);
         // The request expired before this gateway could read it, because of a stall or a burst during startup. It is
@@ -57,8 +57,9 @@
         gossip.flush(now);
     }
 
-    private CustomerQuota findQuota(double now, Request received, int plan) {
-        return quotas.findOrCreate(now, received.customer(), plan, received.firstReplica(), received.replicaCount());
+    private CustomerQuota findQuota(double now, Request received, int planNumber) {
+        return quotas.findOrCreate(
+                now, received.customer(), planNumber, received.firstReplica(), received.replicaCount());
     }
 
     private AdmissionDecision evaluate(double now, PendingRequest request, boolean planKnown) {
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Closes a request whose client has its answer or has disconnected. Forgets it unless it has open attempts. */
+    /** Closes a request whose client has its answer or has disconnected. Removes it unless it has open attempts. */
     void close(PendingRequest request) {
         if (!request.hasOpenAttempt()) pending.remove(request);
         if (request.isClosed()) return;
@@ -134,7 +134,7 @@
         if (!sentCompletely) request.quota().refund(request.units());
     }
 
-    /** Forgets a request if it is closed and all of its attempts have ended. */
+    /** Removes a request if it is closed and all of its attempts have ended. */
     void forgetIfEnded(PendingRequest request) {
         if (request.isClosed() && !request.hasOpenAttempt()) pending.remove(request);
     }
--- a/src/main/java/caperrudder/policy/RetryPolicy.java
+++ b/src/main/java/caperrudder/policy/RetryPolicy.java
@@ -22,9 +22,9 @@
 
     /** Whether another attempt now does no harm even if earlier attempts have run (rule 2). */
     boolean isRepeatable(double now, PendingRequest request) {
-        Attempt mayHaveRun = request.firstAttemptThatMayHaveRun();
-        return mayHaveRun == null
-                || safety.isRepeatable(now, request.trafficClass().requestClass(), mayHaveRun.sentAt());
+        Attempt firstThatMayHaveRun = request.firstAttemptThatMayHaveRun();
+        return firstThatMayHaveRun == null
+                || safety.isRepeatable(now, request.trafficClass().requestClass(), firstThatMayHaveRun.sentAt());
     }
 
     /** Whether a request whose attempts have ended may be sent again; if so, spends a token of the retry budget. */
--- a/src/main/java/caperrudder/policy/gossip/PendingDecision.java
+++ b/src/main/java/caperrudder/policy/gossip/PendingDecision.java
@@ -42,12 +42,12 @@
         replyDueAtMs = replyDueAt;
     }
 
-    /** Returns the rank of the owner that it is assigned to. */
+    /** Returns the rank of the owner that the decision is assigned to. */
     int ownerRank() {
         return ownerRank;
     }
 
-    /** Returns the gateway number of the owner that it is assigned to. */
+    /** Returns the gateway number of the owner that the decision is assigned to. */
     int owner() {
         return owner;
     }
@@ -66,12 +66,12 @@
         return !SerialArithmetic.isAfter(reportSerial, acknowledgedSerial);
     }
 
-    /** Returns whether the time to reply has passed. */
+    /** Returns whether the reply deadline has passed. */
     boolean isReplyOverdue(double now) {
         return now >= replyDueAtMs;
     }
 
-    /** Extends the time to reply. */
+    /** Postpones the reply deadline by {@code ms} milliseconds. */
     void extendReplyDeadline(double ms) {
         replyDueAtMs += ms;
     }
--- a/src/main/java/caperrudder/policy/gossip/PendingDecisions.java
+++ b/src/main/java/caperrudder/policy/gossip/PendingDecisions.java
@@ -45,14 +45,14 @@
         ask(now, decision, decision.ownerRank() + 1);
     }
 
-    /** Returns whether there is an owner of a later rank than the one asked. */
+    /** Returns whether there is an owner of a later rank than the one that the decision is assigned to. */
     static boolean hasNextOwner(PendingDecision decision) {
         return decision.ownerRank() + 1 < decision.quota().ownerCount();
     }
 
     /**
      * Asks the first owner from a rank on that can decide. Decides locally if there is none, if it is this gateway, or
-     * if its reply could come too late.
+     * if the owner's reply could come too late.
      */
     private void ask(double now, PendingDecision decision, int fromRank) {
         CustomerQuota quota = decision.quota();
--- a/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicatedQuota.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * The replication state of one customer's quota: the state of each peer, and the decisions that are
- * pending at owners.
+ * The replication state of one customer's quota: the state of each peer, and the decisions that are pending
+ * at owners.
  *
  * <p>Not thread-safe.
  */
@@ -63,7 +63,7 @@
         return !pendingDecisions.isEmpty();
     }
 
-    /** Returns the units that all pending decisions are about. */
+    /** Returns the sum of the units of all pending decisions. */
     double pendingUnits() {
         return pendingDecisions.stream().mapToDouble(PendingDecision::units).sum();
     }
--- a/src/main/java/caperrudder/policy/loadbalancing/CachedEndpointRange.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/CachedEndpointRange.java
@@ -31,7 +31,10 @@
         this.order = order;
     }
 
-    /** Must be called for each host that becomes usable or unusable. */
+    /**
+     * Marks the cached range as outdated if the host may belong to it. Must be called for each host that becomes usable
+     * or unusable.
+     */
     void recordChange(int key, String id) {
         changed |= contains(key, id);
     }
--- a/src/main/java/caperrudder/policy/quota/AdmissionDecision.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionDecision.java
@@ -4,7 +4,7 @@
 public enum AdmissionDecision {
     /** The request is within what this gateway may admit by itself. */
     ADMIT,
-    /** The request is over the quota, or too likely over it to be worth admitting. */
+    /** The request is over the quota, or so likely to be over it that admitting it is not worthwhile. */
     REJECT,
     /** Only an owner of the quota can decide. */
     ASK_OWNER
--- a/src/main/java/caperrudder/policy/quota/CustomerQuota.java
+++ b/src/main/java/caperrudder/policy/quota/CustomerQuota.java
@@ -20,7 +20,7 @@
     private final int[] owners;
     private final int replicaCount;
     private final TokenBucket local; // this gateway's own share
-    private final TokenBucket shared; // of the replica set: the booked level at an owner, an upper bound elsewhere
+    private final TokenBucket shared; // of the replica set: the charged level at an owner, an upper bound elsewhere
     private final CeilingBucket ceiling;
     private final ConcurrencyQuota concurrency;
     private final MeteredUse meter;
@@ -195,8 +195,8 @@
     }
 
     /**
-     * Returns the time in milliseconds until a request may be admitted: with a rate when the shared bucket holds
-     * {@code units}, otherwise when the pace of admissions allows it. Not positive if that is now.
+     * Returns the time in milliseconds until a request may be admitted: with a rate until the shared bucket
+     * holds {@code units}, otherwise until the next paced admission. Zero or negative if it may be admitted now.
      */
     public double retryAfterMs(double now, double units) {
         return hasRate()
@@ -220,8 +220,8 @@
     /**
      * Returns whether a request may be admitted without an owner's decision.
      *
-     * @param useSharedBucket whether this gateway decides for the whole replica set, by the shared bucket; otherwise its
-     *     own share decides
+     * @param useSharedBucket whether this gateway decides for the whole replica set, by the shared bucket; otherwise
+     *     its own share decides
      */
     public boolean admitsWithoutOwner(double units, boolean useSharedBucket) {
         TokenBucket bucket = useSharedBucket ? shared : local;
--- a/src/main/java/caperrudder/policy/quota/MeteredUse.java
+++ b/src/main/java/caperrudder/policy/quota/MeteredUse.java
@@ -85,9 +85,9 @@
      * reject a customer whose bucket is full.
      */
     boolean admits(double now, double units) {
-        double age = ageMs(now);
-        if (age < FIGURE_STALE_MS && totalPerSecond > plan.unitsPerSecond()) {
-            return bucket.level() - peersPerSecond * (age + FIGURE_DELAY_MS) / MS_PER_SECOND >= units;
+        double figureAgeMs = ageMs(now);
+        if (figureAgeMs < FIGURE_STALE_MS && totalPerSecond > plan.unitsPerSecond()) {
+            return bucket.level() - peersPerSecond * (figureAgeMs + FIGURE_DELAY_MS) / MS_PER_SECOND >= units;
         }
         return bucket.level() >= Math.min(plan.burstUnits(), REQUIRED_LEVEL_PER_UNIT * units);
     }
@@ -112,14 +112,15 @@
      */
     void recordRate(double now, double multipleOfQuota, double ownDemandPerSecond) {
         useMultiple = multipleOfQuota;
-        double total = multipleOfQuota * plan.unitsPerSecond();
-        double ownShare = total > 0 ? Math.min(1, ownPerSecond / total) : evenShare();
-        boolean rises = total < plan.unitsPerSecond() && ownDemandPerSecond > ownShare * plan.unitsPerSecond();
+        double reportedPerSecond = multipleOfQuota * plan.unitsPerSecond();
+        double ownShare = reportedPerSecond > 0 ? Math.min(1, ownPerSecond / reportedPerSecond) : evenShare();
+        boolean rises =
+                reportedPerSecond < plan.unitsPerSecond() && ownDemandPerSecond > ownShare * plan.unitsPerSecond();
         double step = Math.min(MAX_SHARE_STEP, MAX_STEP_TO_EVEN_SHARE_RATIO / replicaCount);
         share = rises ? Math.min(1, Math.max(ownShare, share) + step) : ownShare;
         reportedAt = now;
-        totalPerSecond = total;
-        peersPerSecond = Math.max(0, total - ownPerSecond);
+        totalPerSecond = reportedPerSecond;
+        peersPerSecond = Math.max(0, reportedPerSecond - ownPerSecond);
     }
 
     /**
