--- a/src/main/java/caperrudder/api/HostListKind.java
+++ b/src/main/java/caperrudder/api/HostListKind.java
@@ -8,7 +8,7 @@
     /** All hosts; a known host that is missing is gone. */
     FULL,
 
-    /** All hosts as known before the gateway restarted, which may be outdated. */
+    /** All hosts that were known before the gateway restarted. The list may be outdated. */
     CACHED,
 
     /** Nothing, because the call to discovery failed. */
--- a/src/main/java/caperrudder/api/Plan.java
+++ b/src/main/java/caperrudder/api/Plan.java
@@ -1,13 +1,13 @@
 package caperrudder.api;
 
 /**
- * The quotas that each customer of a plan has over all gateways (WIRE, {@code plans}). A quota of 0 means that the plan
- * does not limit this.
+ * The quotas that each customer of a plan has over all gateways (WIRE, {@code plans}). A rate or limit of 0 means that
+ * the plan has no such quota.
  *
  * @param name the name by which requests refer to the plan
  * @param unitsPerSecond refill rate of the customer's token bucket, in units per second
  * @param burstUnits capacity and initial level of the token bucket, in units
- * @param concurrencyLimit maximum number of the customer's concurrent attempts
+ * @param concurrencyLimit maximum number of the customer's requests that are open at the same time
  * @param valueFactor factor applied to the value of each request
  * @param overQuotaValueShare share of its value that a request over the quota earns
  * @param overQuotaCostRatio cost of a request over the quota as a multiple of its value
--- a/src/main/java/caperrudder/api/PolicyActions.java
+++ b/src/main/java/caperrudder/api/PolicyActions.java
@@ -1,9 +1,10 @@
 package caperrudder.api;
 
 /**
- * The actions that the policy can take. Actions are executed in the order of the calls, and their results are reported
- * by later {@link PolicyEvents}, never during the call. Called only while the policy handles an event, on the thread of
- * that event. All times are in milliseconds.
+ * The actions that the policy can take. Called only while the policy handles an event, on the thread of that event, and
+ * executed in the order of the calls. Their results are reported by later {@link PolicyEvents}. No event is delivered
+ * before the policy has finished handling the current one, even if an action has a result at once. All times are in
+ * milliseconds.
  */
 public interface PolicyActions {
     /**
@@ -29,7 +30,7 @@
     /** Responds to the client that its request has failed. */
     void fail(String id);
 
-    /** Starts a timer that fires once; the event carries the token. */
+    /** Starts a timer that fires once. {@link PolicyEvents#timerFired} is then called with the token. */
     void startTimer(double delayMs, String token);
 
     /** Sends a health check to a host. */
--- a/src/main/java/caperrudder/api/PolicyEvents.java
+++ b/src/main/java/caperrudder/api/PolicyEvents.java
@@ -4,8 +4,8 @@
 
 /**
  * The events that the policy handles. {@code now} is the time of the event in milliseconds; it never decreases, and the
- * policy reads no other clock. All calls are made from one thread. An event for a request, attempt or host that is no
- * longer known is ignored.
+ * policy reads no other clock. All calls are made from one thread, and no event is delivered while another one is being
+ * handled. An event for a request, attempt or host that is no longer known is ignored.
  */
 public interface PolicyEvents {
     /** Starts the policy. Called once, before any other event. */
@@ -22,7 +22,7 @@
     void requestReceived(double now, Request request);
 
     /**
-     * The last byte of a request has arrived, whose body was incomplete before. Its client waits from now on.
+     * The rest of a request has arrived that was received with an incomplete body. Its client waits from now on.
      *
      * @param deadlineAtMs when the client gives up
      */
@@ -74,6 +74,9 @@
     /** Returns the number of known and of avoided hosts. Changes no state and takes no action. */
     ClusterHealth clusterHealth(double now);
 
-    /** Returns the state that a successor takes over. Changes no state and takes no action. */
+    /**
+     * Returns the state that a successor takes over. Takes no action, and changes no state except that the quotas in
+     * the snapshot are refilled up to {@code now}.
+     */
     PolicySnapshot takeSnapshot(double now);
 }
--- a/src/main/java/caperrudder/api/QuotaSnapshot.java
+++ b/src/main/java/caperrudder/api/QuotaSnapshot.java
@@ -12,7 +12,7 @@
  * @param localLevelUnits level of the bucket of this gateway's own share, in units
  * @param meteredLevelUnits level of the bucket that is used with metered admission, in units
  * @param demandUnitsPerSecond average units per second requested from this gateway
- * @param usedUnits total units admitted by this gateway
+ * @param usedUnits total units charged at this gateway, less refunds
  * @param usedUnitsPerSecond average units per second admitted by this gateway
  * @param meteredShare this gateway's share of the metered use, from 0 to 1
  * @param lastMeterReportAtMs time of the meter's last report in milliseconds since 1970; negative infinity if there was
--- a/src/main/java/caperrudder/policy/TrafficPolicy.java
+++ b/src/main/java/caperrudder/policy/TrafficPolicy.java
@@ -32,8 +32,8 @@
  * {@link LoadBalancer} chooses endpoints.
  *
  * <p>Times are milliseconds of the clock of the events. The policy is deterministic: the same seed and the same
- * sequence of events yield the same actions. Not thread-safe: all events must come from one thread. An action may
- * deliver further events before it returns.
+ * sequence of events yield the same actions. Not thread-safe: all events must come from one thread. No event may be
+ * delivered while another one is being handled, so the caller must defer events that an action causes at once.
  */
 public final class TrafficPolicy implements PolicyEvents {
     /** Interval of the periodic work, such as expiring requests and sending messages to peers. */
--- a/src/main/java/caperrudder/policy/quota/AdmissionControl.java
+++ b/src/main/java/caperrudder/policy/quota/AdmissionControl.java
@@ -15,7 +15,7 @@
     /** An owner's reply of this age or older no longer allows admission without asking the owner. */
     public static final double OWNER_REPLY_STALE_MS = 1000;
 
-    /** Age of the figures in an owner's reply on arrival: half the interval between replies and the transit time. */
+    /** Mean age of the figures in an owner's reply on arrival: half the reply interval plus the transit time. */
     private static final double OWNER_REPLY_DELAY_MS = 60;
     /** Use that the reported demand of the other gateways may not show yet, relative to the plan's rate. */
     private static final double UNREPORTED_USE_RATIO = 0.6;
@@ -106,7 +106,7 @@
     private boolean hasCapacity(double now, CustomerQuota quota, double units, boolean canAskOwner) {
         if (!canAskOwner)
             return quota.localHolds(units) || (usesMeter && quota.meter().admits(now, units));
-        // The owner in charge keeps the shared bucket, which was found to hold the units.
+        // The gateway that decides for the replica set needs no reply: its shared bucket is known to hold the units.
         if (owners.decidesLocally(now, quota)) return true;
         if (!isReplyFresh(now, quota)) return false;
         return quota.localHolds(units) || quota.sharedHolds(units, reservedUnits(now, quota));
@@ -114,8 +114,8 @@
 
     /**
      * Returns the units of the shared bucket that other gateways may have used since the owner's figures were taken.
-     * They are weighted by the net cost of a request over the quota. The weight is 1 if that cost is the value of the
-     * request, and grows with the cost from 0 to at most 2.
+     * They are weighted by the net cost of a request over the quota: the weight is 0 without a cost, 1 if the cost
+     * equals the value of the request, and approaches 2 for high costs.
      */
     private static double reservedUnits(double now, CustomerQuota quota) {
         Plan plan = quota.plan();
--- a/src/main/java/caperrudder/policy/quota/CeilingBucket.java
+++ b/src/main/java/caperrudder/policy/quota/CeilingBucket.java
@@ -17,8 +17,8 @@
     private double unsentUnits; // reserved for admitted requests that have not been sent to a host yet
 
     /**
-     * Creates a bucket that holds the units of the time since this gateway started, at most the burst. It does not
-     * start with a full burst, because the predecessor may have spent it.
+     * Creates a bucket that holds this gateway's share of the units of the time since it started, at most its share of
+     * the burst. It does not start with a full burst, because the predecessor may have spent it.
      *
      * @param share this gateway's share of the ceiling, 0 to 1
      * @param elapsedMs time since this gateway started
@@ -49,15 +49,16 @@
     }
 
     /**
-     * Adds the units of an interval. Units that are reserved but not sent yet take up capacity, because the hosts have
-     * not counted them yet and the bucket as they see it must not overflow (BENCH, fifth rule).
+     * Adds the units of an interval. Units that are reserved but not sent yet still take up capacity. The hosts count
+     * them only later, and would then count more than the burst if the bucket were full again by that time (BENCH,
+     * fifth rule).
      */
     void refill(double seconds) {
         level = Math.min(capacity() - unsentUnits, level + plan.ceilingUnitsPerSecond() * share * seconds);
     }
 
     /**
-     * Adds units that another gateway granted. It reports them as a running total.
+     * Adds units that another gateway granted. That gateway reports them as a running total.
      *
      * @param totalGranted units granted by the other gateway so far
      * @param alreadyReceived the part of them that this bucket has received before
@@ -66,7 +67,7 @@
         level = Math.min(capacity() - unsentUnits, level + totalGranted - alreadyReceived);
     }
 
-    /** Reserves units for an admitted request until it is sent; a negative number refunds those of one never sent. */
+    /** Reserves units for an admitted request until it is sent; a negative number refunds reserved units. */
     void reserve(double units) {
         unsentUnits += units;
         level -= units;
--- a/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/caperrudder/policy/quota/ConcurrencyQuota.java
@@ -19,7 +19,7 @@
     private int openRequests;
     private int openAtPeers;
     private double recentPeak; // most requests open here at the same time; decays
-    private double admissionIntervalMs; // if each gateway of the set admits one request in it, the limit is in full use
+    private double admissionIntervalMs; // the limit is fully used if each replica admits one request per interval
     private double nextAdmissionAt = Double.NEGATIVE_INFINITY;
     private double meteredPeakValidUntil = Double.NEGATIVE_INFINITY;
 
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Counts an admitted request as open. If the meter alone reports the use by other gateways, further admissions are
-     * delayed, because other gateways that admit requests of the customer are noticed late: with
-     * {@link #ACTIVE_REPLICAS_SHARE} of the set admitting at this pace, the limit is in full use.
+     * Counts an admitted request as open. If the meter alone reports the use by other gateways and the plan has no
+     * rate, the next admission is delayed, because this gateway learns late what others admit. The limit is fully used
+     * if {@link #ACTIVE_REPLICAS_SHARE} of the set's gateways admit requests at this pace.
      *
      * @param expectedMs time that the request is expected to be open
      */
--- a/src/main/java/caperrudder/policy/quota/CustomerQuota.java
+++ b/src/main/java/caperrudder/policy/quota/CustomerQuota.java
@@ -20,7 +20,7 @@
     private final int[] owners;
     private final int replicaCount;
     private final TokenBucket local; // this gateway's own share
-    private final TokenBucket shared; // of the replica set: the charged level at an owner, an upper bound elsewhere
+    private final TokenBucket shared; // of the replica set: charged with all use at an owner, an upper bound elsewhere
     private final CeilingBucket ceiling;
     private final ConcurrencyQuota concurrency;
     private final MeteredUse meter;
@@ -74,7 +74,7 @@
         return plan;
     }
 
-    /** Returns the number of the first gateway of the replica set. */
+    /** Returns the index of the first gateway of the replica set. */
     public int firstReplica() {
         return firstReplica;
     }
@@ -89,12 +89,12 @@
         return owners.length;
     }
 
-    /** Returns the number of the gateway that has the given rank, from 0, among the quota's owners. */
+    /** Returns the index of the gateway that has the given rank, from 0, among the quota's owners. */
     public int owner(int rank) {
         return owners[rank];
     }
 
-    /** Returns whether the gateway with the given number owns the quota. */
+    /** Returns whether the gateway with the given index owns the quota. */
     public boolean isOwner(int gateway) {
         for (int owner : owners) {
             if (owner == gateway) return true;
@@ -195,8 +195,8 @@
     }
 
     /**
-     * Returns the time in milliseconds until a request may be admitted: with a rate until the shared bucket
-     * holds {@code units}, otherwise until the next paced admission. Zero or negative if it may be admitted now.
+     * Returns the time in milliseconds until a request may be admitted. With a rate, this is when the shared bucket
+     * holds {@code units}, otherwise when the next paced admission is due. Zero or negative if that is the case now.
      */
     public double retryAfterMs(double now, double units) {
         return hasRate()
--- a/src/main/java/caperrudder/policy/quota/DemandEstimate.java
+++ b/src/main/java/caperrudder/policy/quota/DemandEstimate.java
@@ -22,7 +22,7 @@
         return Math.exp(-elapsedMs / TIME_CONSTANT_MS);
     }
 
-    /** Returns what {@code units} that are used or requested at once add to an average, in units per second. */
+    /** Returns the increase of an average, in units per second, when {@code units} are used or requested at once. */
     static double rateIncrease(double units) {
         return units / TIME_CONSTANT_MS * MS_PER_SECOND;
     }
--- a/src/main/java/caperrudder/policy/quota/ExpectedValueAdmission.java
+++ b/src/main/java/caperrudder/policy/quota/ExpectedValueAdmission.java
@@ -4,8 +4,8 @@
 
 /**
  * Admits requests of one plan by their expected value, given the probability that a request is over its customer's
- * quota. Used if the meter alone reports what other gateways admit: one gateway of many then knows nothing of the use
- * of most customers, but learns from responses how often requests of unknown customers were over the quota.
+ * quota. Used if the meter alone reports what other gateways admit. One gateway of many then knows nothing of the use
+ * of most customers, but it learns from responses how often requests of such unknown customers are over the quota.
  *
  * <p>Not thread-safe.
  */
@@ -71,7 +71,7 @@
      *
      * @param valueShare share of the request's value that a response is expected to earn, by its latency
      * @param delayCostShare value that other requests lose by the delay, as a share of this request's value
-     * @param figureAgeMs age of the meter's last figure of the customer, {@code useMultiple}
+     * @param figureAgeMs age of {@code useMultiple}, the meter's last figure of the customer; infinite if there is none
      * @param useMultiple metered use of all gateways as a multiple of the customer's quota
      */
     boolean admits(
@@ -100,8 +100,8 @@
 
     /**
      * Returns the probability that a request of an unknown customer is over the quota. With a rate it grows with the
-     * units of the request, because a nearly empty bucket more often lacks them; with a concurrency limit all requests
-     * count alike.
+     * units of the request, because a bucket is more often too low for a large request than for a small one. With a
+     * concurrency limit all requests count alike.
      */
     private double unknownProbability(double now, double units) {
         double mean = decayedProbability(now);
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Returns the probability that the concurrency limit is reached when a request arrives, with a Poisson distribution
-     * of the number of open requests.
+     * Returns the probability that the concurrency limit is reached when a request arrives, if the number of open
+     * requests has a Poisson distribution.
      */
     private double concurrencyProbabilityAtUse(double useMultiple) {
         double mean = useMultiple * plan.concurrencyLimit() / PEAK_TO_MEAN_RATIO;
--- a/src/main/java/caperrudder/policy/quota/MeteredUse.java
+++ b/src/main/java/caperrudder/policy/quota/MeteredUse.java
@@ -14,9 +14,9 @@
     private static final double MAX_FIGURE_AGE_MS = 20_000;
     /** Figures of this age or older do not limit admission by the use of other gateways. */
     private static final double FIGURE_STALE_MS = 1000;
-    /** Mean age of a figure on arrival: half the interval it covers and the transit time. */
+    /** Mean age of a figure on arrival: half the interval that it covers plus the transit time. */
     private static final double FIGURE_DELAY_MS = 1300;
-    /** Units that the bucket must hold for each unit of a request while there is no fresh figure. */
+    /** Units that the bucket must hold for each unit of a request unless a fresh figure is over the rate. */
     private static final double REQUIRED_LEVEL_PER_UNIT = 2;
     /** Largest increase of the share by one figure. */
     private static final double MAX_SHARE_STEP = 0.05;
@@ -94,7 +94,7 @@
 
     /**
      * Records a figure for a plan with a concurrency limit and no rate. This gateway's share cannot be derived from it,
-     * so that the even share is used.
+     * so the even share is used.
      */
     void recordPeak(double now, double multipleOfQuota) {
         useMultiple = multipleOfQuota;
@@ -104,8 +104,8 @@
 
     /**
      * Records a figure for a plan with a rate. The share is set to this gateway's share of the use. While the use by
-     * all gateways is below the rate and the demand at this gateway exceeds its share of it, the share rises by a step
-     * instead.
+     * all gateways is below the rate and the demand at this gateway exceeds its share of the rate, the share rises by a
+     * step instead.
      *
      * @param multipleOfQuota use by all gateways as a multiple of the plan's rate
      * @param ownDemandPerSecond demand at this gateway
--- a/src/main/java/caperrudder/policy/quota/OwnerLocator.java
+++ b/src/main/java/caperrudder/policy/quota/OwnerLocator.java
@@ -6,10 +6,10 @@
  */
 public interface OwnerLocator {
     /**
-     * Returns the gateways of a replica set that own a quota, in order of rank. The first one is in charge. Each
-     * gateway computes the same result by itself.
+     * Returns the indexes of the gateways that own a quota, in order of rank. The first one is in charge. Each gateway
+     * computes the same result by itself.
      *
-     * @param firstReplica number of the first gateway of the set
+     * @param firstReplica index of the first gateway of the replica set
      * @param replicaCount number of gateways in the set, at least 1
      */
     int[] ownersOf(long customer, int firstReplica, int replicaCount);
--- a/src/main/java/caperrudder/policy/quota/QuotaTable.java
+++ b/src/main/java/caperrudder/policy/quota/QuotaTable.java
@@ -24,7 +24,7 @@
 
     /** Requests of further customers are rejected. */
     private static final int MAX_CUSTOMERS = 20_000;
-    /** A snapshot holds the most recently used customers. */
+    /** Maximum number of customers in a snapshot, which holds the most recently used ones. */
     private static final int MAX_SNAPSHOT_CUSTOMERS = 4000;
     /** Idle time before a customer is evicted, as a multiple of the time in which its slowest bucket fills. */
     private static final double IDLE_TO_FILL_TIME_RATIO = 2;
@@ -71,6 +71,8 @@
      * Returns a customer's quota, refilled up to {@code now}, or null if it is new and the table is full. The plan and
      * the replica set of a customer in the table do not change, so that requests with other values get no new buckets
      * and do not change the owners.
+     *
+     * @param planNumber index of the plan in the settings; must not be {@link #UNKNOWN_PLAN}
      */
     public CustomerQuota findOrCreate(double now, long customer, int planNumber, int firstReplica, int replicaCount) {
         CustomerQuota quota = quotas.get(customer);
@@ -87,8 +89,8 @@
         Plan plan = settings.plans().get(planNumber);
         int replicas = Math.max(1, Math.min(replicaCount, gatewayCount));
         int[] rankedOwners = owners.ownersOf(customer, firstReplica, replicas);
-        // The bucket starts full. With the meter it starts with an even share of the burst, because the minimum
-        // capacity of one request would let each gateway admit a first request.
+        // The local bucket starts full. With the meter it starts with just an even share of the burst, because the
+        // capacity is at least that of the largest request and would let each gateway admit a first request.
         double tokens = metered ? plan.burstUnits() / replicas : localCapacity(plan, 1.0 / replicas);
         CustomerQuota.InitialState initial = new CustomerQuota.InitialState(
                 tokens,
@@ -155,7 +157,7 @@
     /**
      * Restores a quota from the predecessor's snapshot. From the customer's second snapshot on, only charges what the
      * predecessor has used since the previous one. Does nothing if the plan is not in the settings or differs from the
-     * customer's plan here.
+     * customer's plan here, or if the customer is new and the table is full.
      *
      * @param takenAtMs time at which the snapshot was taken
      */
--- a/src/main/java/caperrudder/simulator/BatchReply.java
+++ b/src/main/java/caperrudder/simulator/BatchReply.java
@@ -49,7 +49,10 @@
         text.append('\n');
     }
 
-    /** Ends the reply and returns it. The result is valid until the next call of {@link #begin()}. */
+    /**
+     * Ends the reply with its {@code YIELD} line and returns it. The result is valid until the next call of
+     * {@link #begin()}.
+     */
     CharSequence finish(long turn) {
         text.append(SimulatorProtocol.YIELD);
         field(SimulatorProtocol.TURN, turn).endLine();
--- a/src/main/java/caperrudder/simulator/MessageReader.java
+++ b/src/main/java/caperrudder/simulator/MessageReader.java
@@ -42,7 +42,7 @@
     /**
      * Returns the fields of the message on the current line.
      *
-     * @throws WireFormatException if a field has no name or no value
+     * @throws WireFormatException if a field has no name or no value separator; its value may be empty
      */
     FieldValues fields() {
         int fieldSeparator = line.indexOf(SimulatorProtocol.FIELD_SEPARATOR);
--- a/src/test/java/caperrudder/policy/retry/RetrySafetyTest.java
+++ b/src/test/java/caperrudder/policy/retry/RetrySafetyTest.java
@@ -9,7 +9,7 @@
 import caperrudder.api.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** Checks rule 2: a request that must not run twice is never sent twice. */
+/** Checks rule 2: a request that must not run twice is never sent again after an attempt that may have run. */
 class RetrySafetyTest {
     private static final double CONNECT_TIMEOUT_MS = 250;
     private static final double WINDOW_MS = 1000;
