--- a/src/main/java/caperrudder/policy/Attempt.java
+++ b/src/main/java/caperrudder/policy/Attempt.java
@@ -5,8 +5,8 @@
 
 /**
  * One attempt of a request at an endpoint. An attempt is open until its result is reported. It is working, and holds a
- * slot of the concurrency limit, from the time when its request has been sent completely until its response begins.
- * Times are milliseconds of the policy's clock. Confined to the policy's thread.
+ * slot of the concurrency limit, from the time when its request has been sent completely until its response begins or
+ * the attempt ends. Times are milliseconds of the policy's clock. Confined to the policy's thread.
  */
 final class Attempt {
     private final PendingRequest request;
@@ -56,7 +56,7 @@
         return expectedWorkMs;
     }
 
-    /** Returns the time when the request was sent completely; that of its first byte until the work begins. */
+    /** Returns the time when the request was sent completely; until then, the time of its first byte. */
     double sentAt() {
         return sentAt;
     }
--- a/src/main/java/caperrudder/policy/AttemptFeedback.java
+++ b/src/main/java/caperrudder/policy/AttemptFeedback.java
@@ -16,7 +16,7 @@
     private final AdmissionControl admission;
     private final boolean chargesActualUnits;
 
-    /** @param chargesActualUnits whether quotas are charged for the units that hosts report as really used */
+    /** @param chargesActualUnits whether quotas are charged for the units that hosts report as actually used */
     AttemptFeedback(
             LoadBalancer loadBalancer,
             ConcurrencyLimit limit,
--- a/src/main/java/caperrudder/policy/AttemptLifecycle.java
+++ b/src/main/java/caperrudder/policy/AttemptLifecycle.java
@@ -7,7 +7,8 @@
 
 /**
  * Handles the events of an attempt after it was sent: the request is complete, the response has started, or the attempt
- * is overdue or has ended. Decides whether the request is retried or answered then. Confined to the policy's thread.
+ * is overdue or has ended. When the last open attempt of a request has ended and the request is not closed, decides
+ * whether it is retried or answered. Confined to the policy's thread.
  */
 final class AttemptLifecycle {
     private final PolicyActions actions;
--- a/src/main/java/caperrudder/policy/PendingRequest.java
+++ b/src/main/java/caperrudder/policy/PendingRequest.java
@@ -30,7 +30,7 @@
     private boolean closed;
     private PendingDecision pendingDecision; // null if no owner of the quota was asked
 
-    /** @param quota of the customer; null if the settings do not define its plan or the quota table is full */
+    /** @param quota the customer's quota; null if the settings do not define its plan or the quota table is full */
     PendingRequest(Request request, TrafficClass trafficClass, CustomerQuota quota) {
         this.request = request;
         this.trafficClass = trafficClass;
@@ -166,7 +166,7 @@
         return attempt;
     }
 
-    /** Returns the endpoints of all attempts in order; one that had several attempts is listed as often. */
+    /** Returns the endpoints of all attempts in order, once for each attempt. */
     List<Endpoint> attemptedEndpoints() {
         if (attempts.isEmpty()) return List.of();
         List<Endpoint> endpoints = new ArrayList<>(attempts.size());
--- a/src/main/java/caperrudder/policy/RequestAdmission.java
+++ b/src/main/java/caperrudder/policy/RequestAdmission.java
@@ -41,7 +41,7 @@
         CustomerQuota quota = planKnown ? findQuota(now, received, planNumber) : null;
         PendingRequest request = new PendingRequest(received, trafficClass, quota);
         pending.add(request);
-        // The request expired before this gateway could read it, because of a stall or a burst during startup. It is
+        // A request that expired before this gateway could read it, because of a stall or a burst during startup, is
         // answered at once, so that it does not delay others. The arrival time includes the whole lag of the event
         // loop, so a request that arrived late in a stall may be dropped too early.
         if (request.arrivedAt() < now && now >= RequestExpiry.expiresAt(request)) {
--- a/src/main/java/caperrudder/policy/RequestLifecycle.java
+++ b/src/main/java/caperrudder/policy/RequestLifecycle.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Handles the disconnection of a client: closes its request and cancels the open attempts, unless cancellation is
-     * not permitted or a response has begun.
+     * Handles the disconnection of a client: closes its request, and cancels the open attempts if cancellation is
+     * permitted and no response has begun.
      */
     void clientDisconnected(PendingRequest request) {
         close(request);
@@ -96,13 +96,13 @@
         }
     }
 
-    /** Returns a request whose attempts have ended to the head of its queue. */
+    /** Puts a request whose attempts have ended back at the head of its queue. */
     void retry(PendingRequest request) {
         scheduler.requeue(request);
     }
 
     /**
-     * Sends the final answer to a request that no response was served for: a rejection if a retry by the client is
+     * Sends the final answer to a request for which no response was served: a rejection if a retry by the client is
      * harmless (rule 2), otherwise a failure.
      */
     void answerUnserved(PendingRequest request) {
--- a/src/main/java/caperrudder/policy/RetryAfter.java
+++ b/src/main/java/caperrudder/policy/RetryAfter.java
@@ -4,7 +4,7 @@
 
 /** Computes the Retry-After delay of rejected requests. */
 final class RetryAfter {
-    /** The value by which {@link caperrudder.api.PolicyActions#reject} sends no Retry-After. */
+    /** The delay for which {@link caperrudder.api.PolicyActions#reject} sends no Retry-After. */
     static final double NONE = 0;
 
     private static final double MIN_MS = TrafficPolicy.TICK_MS; // capacity and quota may change with the next tick
--- a/src/main/java/caperrudder/policy/gossip/PeerState.java
+++ b/src/main/java/caperrudder/policy/gossip/PeerState.java
@@ -34,12 +34,12 @@
         return incarnation;
     }
 
-    /** Returns the serial of the last message sent to the peer. */
+    /** Returns the serial of the last message sent to the peer; 0 before the first. */
     int lastSentSerial() {
         return lastSentSerial;
     }
 
-    /** Returns the serial of the last message accepted from the peer. */
+    /** Returns the serial of the last message accepted from the peer; 0 before the first. */
     int lastReceivedSerial() {
         return lastReceivedSerial;
     }
@@ -85,12 +85,12 @@
         lastSentAtMs = now;
     }
 
-    /** Returns the quotas to report to the peer, which owns them. May be modified. */
+    /** Returns the quotas to report to the peer, which owns them. Callers may modify the set. */
     Set<ReplicatedQuota> dueReports() {
         return dueReports;
     }
 
-    /** Returns the quotas to reply about to the peer, a replica. May be modified. */
+    /** Returns the quotas to reply about to the peer, a replica. Callers may modify the set. */
     Set<ReplicatedQuota> dueReplies() {
         return dueReplies;
     }
--- a/src/main/java/caperrudder/policy/gossip/PendingDecisions.java
+++ b/src/main/java/caperrudder/policy/gossip/PendingDecisions.java
@@ -31,7 +31,8 @@
 
     /**
      * Asks an owner to decide a new request. If no owner can decide in time, the request is decided locally before this
-     * method returns. This includes the case that this gateway handles events late, and would read a reply too late.
+     * method returns. A request that this gateway handles late is decided locally too, because the reply would also be
+     * handled late.
      *
      * @param arrivedAt time in milliseconds at which the request arrived
      */
@@ -73,7 +74,7 @@
         outbox.queueReport(peer, replicated);
     }
 
-    /** Decides by the shared bucket if an owner is known, otherwise by this gateway's own share. */
+    /** Decides by the shared bucket if an owner was found that can decide, otherwise by this gateway's own share. */
     private void decideLocally(double now, PendingDecision decision, boolean isOwnerKnown) {
         CustomerQuota quota = decision.quota();
         withdraw(decision);
@@ -89,7 +90,7 @@
 
     /**
      * Asks the next owner about each decision whose reply is overdue. The owner that did not reply counts as
-     * unresponsive for a while. Silence shows a failure only if a reply is due, since there are no heartbeats.
+     * unresponsive for a while. There are no heartbeats, so only an overdue reply shows that an owner may have failed.
      */
     void handleOverdueReplies(double now) {
         awaitingReply.removeIf(decision -> decision.request().isDecided());
--- a/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaGossip.java
@@ -41,7 +41,7 @@
         this.replies = new ReplyHandler(quotas, ownership, replication, decisions, outbox);
     }
 
-    /** Handles a message from another gateway. A message that is damaged or from an unknown sender is ignored. */
+    /** Handles a message from another gateway. Ignores it if it is damaged, outdated or from an unknown sender. */
     public void receive(double now, int from, byte[] data) {
         if (!peers.isPeer(from)) return;
         Optional<QuotaMessage> decoded = QuotaMessageCodec.decode(data);
--- a/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
+++ b/src/main/java/caperrudder/policy/gossip/QuotaOwnership.java
@@ -21,7 +21,7 @@
     private final PeerTable peers;
     private final double startedAtMs;
 
-    /** @param now time of this gateway's start, which identifies its incarnation */
+    /** @param now time of this gateway's start; it may not know which units were used before */
     public QuotaOwnership(double now, Settings settings) {
         this.peers = new PeerTable(settings);
         this.startedAtMs = now;
@@ -72,7 +72,7 @@
 
     /**
      * Returns whether this gateway, as an owner, does not know which units were used before its start. It knows once it
-     * was informed of them, or once the bucket would have refilled from empty to full since its start.
+     * was informed of them, or once the time since its start suffices to fill an empty bucket.
      */
     boolean isUncertain(double now, CustomerQuota quota) {
         double refilledUnits =
--- a/src/main/java/caperrudder/policy/gossip/ReplicaState.java
+++ b/src/main/java/caperrudder/policy/gossip/ReplicaState.java
@@ -70,9 +70,9 @@
 
     /**
      * Returns the units that the replica used in addition to those charged, negative if it refunded units; 0 before the
-     * first report is charged. A refund is limited to the units that were granted or may be in use by open requests. A
-     * running total that drops further was restarted by a replica that had forgotten the customer, and would fill the
-     * bucket.
+     * first report is charged. A refund is limited to the units that were granted or may be in use by open requests. If
+     * the running total drops by more, the replica has forgotten the customer and started a new total. Refunding the
+     * whole difference would fill the bucket.
      *
      * @param usedUnits the replica's running total of used units
      * @param maxUnits maximum units of a request
--- a/src/main/java/caperrudder/policy/gossip/ReportHandler.java
+++ b/src/main/java/caperrudder/policy/gossip/ReportHandler.java
@@ -58,7 +58,8 @@
 
     /**
      * Takes over the sender's view of the shared bucket if the sender decides on the quota, or if this gateway is
-     * uncertain. Returns whether the view was taken over.
+     * uncertain. While this gateway is uncertain, the view can only lower the level. Returns whether it was taken over,
+     * so that the units that the sender reports as used are not charged again.
      */
     private boolean adoptView(double now, PeerState peer, CustomerQuota quota, ReplicaReport report) {
         if (report.fillRatio().isEmpty()) return false;
@@ -88,7 +89,7 @@
         replica.recordCharge(report.usedUnits(), grantedUnits);
         quota.grant(grantedUnits);
         if (isGranted && needsCeiling && report.wantsReply()) {
-            // Deducted before the reply is sent: a lost reply loses units rather than creating some.
+            // Deducted before the reply is sent, so that a lost reply can lose units but never create any.
             quota.grantCeilingUnits(wantedUnits);
             replica.addCeilingUnitsGranted(wantedUnits);
         }
--- a/src/main/java/caperrudder/policy/gossip/UndecidedRequest.java
+++ b/src/main/java/caperrudder/policy/gossip/UndecidedRequest.java
@@ -5,7 +5,10 @@
     /** Returns the units of the quota that the request uses. */
     double units();
 
-    /** Returns the time in milliseconds by which the request must be decided. It changes when the last byte arrives. */
+    /**
+     * Returns the time in milliseconds by which the request must be decided. It changes when the last byte of the
+     * request arrives.
+     */
     double decisionDueAtMs();
 
     /** Returns whether the request was already admitted or has ended, so that it needs no decision. */
--- a/src/main/java/caperrudder/policy/loadbalancing/CachedEndpointRange.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/CachedEndpointRange.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * A contiguous range of the usable endpoints in their order, cached from the last call. It is copied again only if an
- * endpoint inside it has become usable or unusable: in a large fleet, few changes affect the range of one gateway.
+ * A contiguous range of the usable endpoints in their order, cached from the last call. It is copied again only if
+ * another range is requested, or if an endpoint inside it has become usable or unusable. In a large fleet, few changes
+ * affect the range of one gateway.
  */
 final class CachedEndpointRange {
     private final RankedEndpoints usable;
@@ -39,7 +40,10 @@
         changed |= contains(key, id);
     }
 
-    /** Returns whether a host with this key and id lies in the arc, or between the first and the last endpoint. */
+    /**
+     * Returns whether a host with this key and id lies in the arc, or between the first and the last endpoint; always
+     * true if the range is empty.
+     */
     private boolean contains(int key, String id) {
         if (endpoints.isEmpty() || (arc != null && arc.contains(key))) return true;
         Endpoint first = endpoints.get(0);
--- a/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/Endpoint.java
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Returns how many times its expected latency the endpoint takes, over all request classes: 1 is as expected, the
-     * maximum is 12.
+     * Returns the ratio of the endpoint's actual to its expected latency over all request classes, from 0 to 12; 1 if
+     * there are no observations.
      */
     public double latencyPenalty(double now) {
         return scores == null ? 1 : scores.latencyPenalty(now);
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointPicker.java
@@ -8,10 +8,10 @@
 import java.util.Random;
 
 /**
- * Picks the endpoint for an attempt: the one with the best score in a random sample of the subset. Scores depend on the
- * outstanding work of this gateway alone. In a large fleet that is mostly 0, and gateways that compared their whole
- * subsets would all send to the same endpoints. The sample size therefore grows with the number of outstanding
- * attempts, up to the whole subset.
+ * Picks the endpoint for an attempt: the one with the lowest score in a random sample of the subset. The only load that
+ * scores include is the outstanding work of this gateway. In a large fleet that is mostly 0, and gateways that compared
+ * their whole subsets would all send to the same endpoints. The sample size therefore grows with the number of
+ * outstanding attempts, up to the whole subset.
  */
 final class EndpointPicker {
     private static final int MIN_SAMPLE_SIZE = 2;
@@ -100,8 +100,8 @@
 
     /**
      * Returns the candidates for a request that no endpoint of the subset can take: all usable endpoints or, if there
-     * are too many, a limited number from a random one on. In the latter case, a retry with an idempotency key gets its
-     * candidates only from the endpoints that drop repeats of the key.
+     * are too many, a limited number, starting at a random one. In the latter case, a retry with an idempotency key
+     * gets its candidates only from the endpoints that drop repeats of the key.
      */
     private List<Endpoint> fallbackCandidates(PlacementRequest request) {
         boolean limitsToScope = table.usableCount() > MAX_FALLBACK_CANDIDATES
@@ -141,7 +141,7 @@
         return null; // the subset is empty, or rounding errors left a remainder
     }
 
-    /** Returns an endpoint's weight for a class: 1 for a warm healthy endpoint with the mean load. */
+    /** Returns an endpoint's weight for a class: 1 if warm and healthy with the mean load, 0 if not usable. */
     private double weight(double now, Endpoint endpoint, String className) {
         if (!endpoint.isUsable()) return 0;
         double penalty = Math.max(1, endpoint.latencyPenalty(now, className));
@@ -149,9 +149,9 @@
     }
 
     /**
-     * Returns the usable candidate with the lowest score, or null if there is none. Endpoints in slow start get their
-     * requests by credit and are skipped here. With {@code includeSlowStart} each takes part with a probability of its
-     * allowed share / the number of candidates.
+     * Returns the candidate with the lowest score among the usable ones that the request may use, or null if there is
+     * none. Endpoints in slow start get their requests by credit and are skipped here, unless {@code includeSlowStart}
+     * is set. In that case each is considered with a probability of its allowed share / the number of candidates.
      */
     private Endpoint best(
             double now, PlacementRequest request, Collection<Endpoint> candidates, boolean includeSlowStart) {
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Returns the time in ms that the request would take after the endpoint's outstanding work. Latency penalty,
-     * earlier attempts of the request there, slow start and crossing zones increase it.
+     * Returns the time in ms that the endpoint would take for its outstanding work and the request. The latency
+     * penalty, earlier attempts of the request on the endpoint, slow start and crossing zones increase the result.
      */
     private double score(double now, PlacementRequest request, Endpoint endpoint) {
         boolean wholeSubset = comparesWholeSubset();
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointScores.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointScores.java
@@ -7,8 +7,8 @@
 
 /**
  * The outlier scores of one endpoint: one for all request classes, and one for each class that has been observed.
- * Failures count against their class only, since the endpoint may still serve the others. Slow responses count against
- * all classes.
+ * Errors and overdue attempts count against their class only, since the endpoint may still serve the others. Slow
+ * responses, rejections and failures to connect count against all classes, and so do errors of several classes.
  */
 final class EndpointScores {
     /** The class name that stands for the score of all classes in a snapshot. */
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointSubset.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointSubset.java
@@ -8,8 +8,8 @@
  * tables of the hosts.
  *
  * <p>In a small fleet, subsets follow one another in the order of the endpoints. In a large fleet, a subset is an arc
- * of a hash ring, so that a new host changes only the subsets whose arcs contain it. If arcs would contain few
- * endpoints, their sizes would differ too much, and subsets are ranges of equal size at equal distances instead.
+ * of a hash ring, so that a new host changes only the subsets whose arcs contain it. Arcs with few endpoints would
+ * differ too much in size, so subsets are then ranges of equal size at equal distances instead.
  */
 final class EndpointSubset {
     private static final int MIN_SUBSET_SIZE = 8;
@@ -21,7 +21,7 @@
     private final int gatewayIndex;
     private final int gatewayCount;
     private List<Endpoint> endpoints = List.of();
-    private Endpoint latestStarted; // null if the subset is empty
+    private Endpoint latestStarted; // null if the subset is empty and no start was recorded
 
     /** Creates the subset of a gateway, whose index counts from 0, in a fleet of at least one gateway. */
     EndpointSubset(EndpointTable table, int gatewayIndex, int gatewayCount) {
@@ -39,7 +39,11 @@
         return gatewayCount > MAX_SMALL_FLEET_GATEWAYS;
     }
 
-    /** Selects the endpoints from the table. The list stays the same instance if its endpoints have not changed. */
+    /**
+     * Selects the endpoints from the table. The list stays the same instance if its endpoints have not changed.
+     *
+     * @param recomputeLatestStarted whether to determine which endpoint started last even if the list is unchanged
+     */
     void refresh(boolean recomputeLatestStarted) {
         List<Endpoint> selected = select();
         if (selected != endpoints || recomputeLatestStarted) latestStarted = latestStarted(selected);
@@ -67,8 +71,8 @@
     }
 
     /**
-     * Records that an endpoint has started. Until the next refresh, {@link #isWarm} takes it into account even if it is
-     * outside the subset.
+     * Records that an endpoint has started. {@link #isWarm} takes it into account even if it is outside the subset,
+     * until a refresh determines which endpoint of the subset started last.
      */
     void recordEndpointStart(Endpoint endpoint) {
         if (latestStarted == null || endpoint.startedAtMs() > latestStarted.startedAtMs()) latestStarted = endpoint;
--- a/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/EndpointTable.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 
 /**
- * All endpoints that are listed, or were until recently, with their indexes. It takes no decisions. The cost of a
+ * All endpoints that are listed, or were until recently, with their indexes. It makes no decisions. The cost of a
  * change depends on how many endpoints it changes; only a full list visits all of them, when it begins and ends.
  */
 final class EndpointTable {
--- a/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/OutlierDetector.java
@@ -17,7 +17,7 @@
     private static final double LATENCY_GAIN = 0.12; // weight of one response
     private static final double FAILURE_GAIN = 0.4; // weight of an error, a rejection or an overdue attempt
     private static final double CONNECT_FAILURE_GAIN = 1; // ejects at the second failure in a row
-    private static final double CLEARED_PENALTY = 1.3; // a success clears the failures of a class only below it
+    private static final double CLEARED_PENALTY = 1.3; // a success clears the failures of a class only below this
 
     private final Set<String> classNames = new LinkedHashSet<>();
     private final Set<Endpoint> observed = new LinkedHashSet<>();
@@ -94,7 +94,7 @@
         scores.of(className).recordFailure(FAILURE_GAIN, now);
         // In a large fleet, a gateway uses each host too seldom to eject it class by class.
         int failingClasses = 0;
-        for (String name : classNames) if (scores.of(name).hasFailures()) failingClasses++; // creates scores
+        for (String name : classNames) if (scores.of(name).hasFailures()) failingClasses++; // of() creates scores
         if (failingClasses > 1) scores.overall().record(OutlierScore.MAX_PENALTY, FAILURE_GAIN, now);
     }
 
--- a/src/main/java/caperrudder/policy/loadbalancing/RankedEndpoints.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/RankedEndpoints.java
@@ -154,7 +154,10 @@
         visitedCount += count - remaining;
     }
 
-    /** Returns {@code count} endpoints from a rank on of the concatenated lists, wrapping around at the end. */
+    /**
+     * Returns {@code count} endpoints of the concatenated lists, from a rank on, wrapping around at the end. The lists
+     * must contain at least as many.
+     */
     static List<Endpoint> copyCircular(Collection<RankedEndpoints> lists, int rank, int count) {
         List<Endpoint> endpoints = new ArrayList<>(count);
         copyTo(lists, rank, count, endpoints);
--- a/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
+++ b/src/main/java/caperrudder/policy/loadbalancing/SlowStart.java
@@ -21,7 +21,7 @@
         overloadMultiple = rules.overloadMultiple();
     }
 
-    /** Returns the share of its full capacity that an endpoint has now, by its last start: above 0, at most 1. */
+    /** Returns the share of its full capacity that an endpoint has at {@code now}: above 0, at most 1. */
     double capacityShare(Endpoint endpoint, double now) {
         double elapsedShare = (now - endpoint.startedAtMs()) / slowStartMs;
         return elapsedShare >= 1
@@ -37,7 +37,7 @@
         return capacityShare(endpoint, now) < 1;
     }
 
-    /** Returns the traffic that may go to an endpoint, relative to a warm one; over 1 if it is nearly warm. */
+    /** Returns the traffic that may go to an endpoint, relative to a warm one; can exceed 1 if it is nearly warm. */
     double allowedShare(Endpoint endpoint, double now) {
         return OVERLOAD_SAFETY_FACTOR * overloadMultiple * capacityShare(endpoint, now);
     }
--- a/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
+++ b/src/main/java/caperrudder/policy/scheduling/ClassQueue.java
@@ -72,7 +72,7 @@
 
     /**
      * Returns the estimated time in milliseconds until all requests now in the queue are dispatched, from the recent
-     * dispatch rate.
+     * dispatch rate; 0 while no rate is known.
      */
     double drainTimeMs() {
         return queue.size() * dispatchGapMs;
--- a/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
+++ b/src/main/java/caperrudder/policy/scheduling/ConcurrencyLimit.java
@@ -19,7 +19,7 @@
     private static final double ADAPTATION_INTERVAL_MS = 250;
     private static final int MIN_ENDED_ATTEMPTS = 8; // with fewer the adaptation is postponed
     private static final int MAX_INTERVALS_PER_ADAPTATION = 8;
-    private static final double INFLATED_LATENCY_RATIO = 1.7; // latency over its base from which hosts are queueing
+    private static final double INFLATED_LATENCY_RATIO = 1.7; // of latency to base; above it, requests queue at hosts
     private static final double MAX_HARMLESS_OBJECTIVE_SHARE = 0.1; // a lower mean latency is never congestion
     private static final double MAX_UNCONGESTED_OBJECTIVE_SHARE = 0.5; // a higher mean latency is always congestion
     private static final double BURST_SLOT_FACTOR = 0.7; // extra slots per square root of a gateway's even share
@@ -28,7 +28,7 @@
     private final List<TrafficClass> classes;
     private double limitPerHost = INITIAL_ATTEMPTS_PER_HOST;
     private int inUse;
-    private boolean saturated; // since the flag was last read
+    private boolean saturated; // whether no slot was free since the flag was last cleared
     private double adaptedAt;
 
     // Statistics of the current interval.
--- a/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
+++ b/src/main/java/caperrudder/policy/scheduling/FairScheduler.java
@@ -47,7 +47,7 @@
         queueOf(request.trafficClass()).addLast(request, virtualTime);
     }
 
-    /** Returns a request to the head of the queue of its class, for a retry. */
+    /** Puts a request back at the head of the queue of its class, for a retry. */
     public void requeue(R request) {
         queueOf(request.trafficClass()).addFirst(request);
     }
--- a/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/EndpointTableTest.java
@@ -32,7 +32,7 @@
 class EndpointTableTest {
     private static final int HOSTS = 700;
 
-    /** Returns a host whose id may have the same hash as that of another number. */
+    /** Returns a host. The ids of some numbers have equal hash codes. */
     private static Host host(int number, HostState state, double startedAtMs, String zone, int cell) {
         String id = number % 7 > 1 ? "h" + number : (number % 7 == 0 ? "Aa" : "BB") + number / 7;
         return new Host(id, zone, "std", cell, state, 1, startedAtMs);
@@ -287,7 +287,7 @@
         assertNull(table.find("b"));
     }
 
-    /** Asserts that a retry finds the only host among 20,000 that shares the key's scope, outside the subset. */
+    /** Asserts that a retry finds the only one of 20,000 hosts that shares the key's scope, outside the subset. */
     private static void assertRetryFindsTheOnlyHostInScope(DeduplicationScope scope, String zone) {
         RequestClass requestClass =
                 new RequestClass("order", Idempotency.IDEMPOTENCY_KEY, scope, 60_000, 1000, 3000, 3, 0, false);
--- a/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
+++ b/src/test/java/caperrudder/policy/loadbalancing/LoadReportsTest.java
@@ -49,7 +49,7 @@
         warmingUp.recordRestart(1000, 0);
         for (int i = 0; i < 200; i++) {
             reports.record(1000, warm, report(10));
-            reports.record(1000, warmingUp, report(2)); // it has a fifth of its full capacity
+            reports.record(1000, warmingUp, report(2)); // at a fifth of its full capacity
         }
         assertEquals(1, reports.weightCorrection(1000, warm), 1e-3);
         assertEquals(1, reports.weightCorrection(1000, warmingUp), 1e-3);
