--- a/src/main/java/caperrudder/api/Plan.java
+++ b/src/main/java/caperrudder/api/Plan.java
@@ -7,7 +7,7 @@
  * @param name the name by which requests refer to the plan
  * @param unitsPerSecond refill rate of the customer's token bucket, in units per second
  * @param burstUnits capacity and initial level of the token bucket, in units
- * @param concurrencyLimit maximum number of the customer's requests that are open at the same time
+ * @param concurrencyLimit maximum number of the customer's concurrent attempts
  * @param valueFactor factor applied to the value of each request
  * @param overQuotaValueShare share of its value that a request over the quota earns
  * @param overQuotaCostRatio cost of a request over the quota as a multiple of its value
